--- a/bench/suites/coordinators.py
+++ b/bench/suites/coordinators.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bench.figure import Figure, at_most
-from quetzalcourse.coordination.batches.owner_watch import WATCHERS
+from quetzalcourse.coordination.batches.owner_watch import WATCHERS_PER_BATCH
 from quetzalcourse.tests.coordination.batches.owner_watch_tests import (
     LARGE,
     MAX_RATIO,
@@ -54,7 +54,7 @@
         await _compare_sizes(rank=0),
         'ratio',
         at_most(MAX_RATIO),
-        baseline=await _compare_sizes(rank=WATCHERS),
+        baseline=await _compare_sizes(rank=WATCHERS_PER_BATCH),
         detail=f'{LARGE} daemons against {SMALL}; baseline: one that does not'
         ' watch the owner',
     )
--- a/bench/suites/rollouts.py
+++ b/bench/suites/rollouts.py
@@ -17,16 +17,16 @@
     Upstream,
 )
 from quetzalcourse.coordination.versions.load_plan import (
-    Load,
-    LoadView,
-    count_uses,
+    WeightLoad,
+    UpstreamVersions,
+    count_usable_models,
     plan_loads,
 )
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.pool import PoolMember
 from quetzalcourse.tests.clocks import FakeClock
 from quetzalcourse.tests.coordinators import build_allocator
-from quetzalcourse.tests.coordination.batches.lengths_tests import (
+from quetzalcourse.tests.coordination.batches.duration_predictor_tests import (
     BURST_SLOTS,
     build_burst,
     order_burst,
@@ -62,7 +62,9 @@
 NEED = PlacementRequest('engines', 'verse', 1)
 TICK = timedelta(milliseconds=100)
 BURSTS = 20
-LoadPlan = Callable[[Sequence[LoadView], Mapping[str, int]], list[Load]]
+LoadPlan = Callable[
+    [Sequence[UpstreamVersions], Mapping[str, int]], list[WeightLoad]
+]
 # Length of the cuts of a data centre in the trials.
 CUT = timedelta(seconds=5.5)
 
@@ -252,14 +254,14 @@
             named[name] = version
             while loads := plan(views, named):
                 views = carry_out(views, loads)
-        idle += sum(not count_uses(view, named) for view in views)
+        idle += sum(not count_usable_models(view, named) for view in views)
     return idle / (VERSIONS - 2)
 
 
 def _plan_behind(
-    views: Sequence[LoadView],
+    views: Sequence[UpstreamVersions],
     named: Mapping[str, int],
-) -> list[Load]:
+) -> list[WeightLoad]:
     """Load each version where its model is furthest behind."""
     share = -(-len(views) // len(named))
     loads = []
@@ -270,7 +272,7 @@
             key=lambda view: view.versions[model],  # noqa: B023
         )
         loads += [
-            Load(view.name, model, version)
+            WeightLoad(view.name, model, version)
             for view in behind[: max(share - held, 0)]
         ]
     return loads
--- a/quetzalcourse/batch_parts.py
+++ b/quetzalcourse/batch_parts.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.batches.adoption import BatchKeeper
+from quetzalcourse.coordination.batches.batch_takeover import BatchTakeover
 from quetzalcourse.coordination.batches.batch_rows import BatchRows
 from quetzalcourse.coordination.batches.batch_writer import BatchWriter
-from quetzalcourse.coordination.batches.batches import Batches
+from quetzalcourse.coordination.batches.batch_service import BatchService
 from quetzalcourse.coordination.batches.directory import BatchDirectory
 from quetzalcourse.coordination.batches.coordinator_list import CoordinatorList
 from quetzalcourse.coordination.batches.slot_usage_updates import (
@@ -55,11 +55,11 @@
 
     reader: ResultReader
     runner: BatchRunner
-    keeper: BatchKeeper
+    keeper: BatchTakeover
     watch: OwnerWatch
     load_updates: LoadUpdates
     allocator: SlotAllocator
-    batches: Batches
+    batches: BatchService
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run the parts in the background."""
@@ -98,7 +98,7 @@
         clock,
     )
     members.on_urgency(lambda: bool(runner.batches))
-    runner.on_begin(members.announce)
+    runner.on_batch_start(members.announce)
     coordinators = CoordinatorList(directory, residency.routes, members)
     notifications = ResultNotifications(
         directory, runner, reader, calls.peers, members, clock
@@ -109,14 +109,14 @@
         SlotUsageUpdates(allocator, pool, coordinators, calls.peers, clock),
     )
     offers = BatchCoordinators(calls.peers, members, feeds.operators, residency)
-    batches = Batches(
+    batches = BatchService(
         rows, directory, reader, runner, offers, members, store_clock, clock
     )
-    offers.on_offer(batches.take_offer)
+    offers.on_offer(batches.accept_offer)
     return BatchParts(
         reader,
         runner,
-        BatchKeeper(
+        BatchTakeover(
             rows, directory, runner, members, store_clock, clock, residency
         ),
         OwnerWatch(
@@ -131,6 +131,6 @@
 def _connect_coordinators(
     runner: BatchRunner, updates: SlotUsageUpdates
 ) -> None:
-    runner.on_begin(updates.on_begin)
-    runner.on_placed(updates.tell)
-    updates.on_update(runner.on_slots)
+    runner.on_batch_start(updates.on_batch_start)
+    runner.on_placed(updates.send_update)
+    updates.on_update(runner.on_slots_freed)
--- a/quetzalcourse/coordination/batches/batch_rows.py
+++ b/quetzalcourse/coordination/batches/batch_rows.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class AppliedWrite:
     """Write that took effect, and the version of its rows."""
 
     version: int
@@ -179,7 +179,7 @@
         chunks: Sequence[bytes],
         owner: Ownership,
         replaced: int = ABSENT,
-    ) -> Result[Written | Row, StoreFault]:
+    ) -> Result[AppliedWrite | Row, StoreFault]:
         """Write a new batch.
 
         :param chunks: contents of the rows of its items.
@@ -206,7 +206,7 @@
 
     async def refuse(
         self, head: BatchHead
-    ) -> Result[Written | Row, StoreFault]:
+    ) -> Result[AppliedWrite | Row, StoreFault]:
         """Write a refusal in the place of a batch.
 
         A write of the batch whose answer was lost may still be on its way;
@@ -226,7 +226,7 @@
         batch: str,
         version: int,
         owner: Ownership,
-    ) -> Result[Written | Row, StoreFault]:
+    ) -> Result[AppliedWrite | Row, StoreFault]:
         """Become the owner of a batch.
 
         :param version: version of the owner's row that is replaced.
@@ -246,7 +246,7 @@
         owner_version: int,
         partials: Mapping[int, PartialText],
         successor: Ownership | None = None,
-    ) -> Result[Written | Row, StoreFault]:
+    ) -> Result[AppliedWrite | Row, StoreFault]:
         """Keep what was made of unfinished items.
 
         :param partials: by the items' place in the batch.
@@ -283,7 +283,7 @@
         owner_version: int,
         position: int,
         results: Sequence[ItemResult],
-    ) -> Result[Written | Row, StoreFault]:
+    ) -> Result[AppliedWrite | Row, StoreFault]:
         """Write results at their positions for good.
 
         :param owner_version: an owner that was deposed fails by it.
@@ -305,7 +305,7 @@
         )
         return _read_commit(answer, owner)
 
-    async def end(self, batch: str) -> Result[Written | Row, StoreFault]:
+    async def end(self, batch: str) -> Result[AppliedWrite | Row, StoreFault]:
         """Note that the caller wants no more of a batch."""
         key = name_row(batch, END)
         answer = await self._table.transact(
@@ -363,12 +363,12 @@
 def _read_commit(
     answer: Result[Commit, StoreFault],
     key: str,
-) -> Result[Written | Row, StoreFault]:
+) -> Result[AppliedWrite | Row, StoreFault]:
     if isinstance(answer, Err):
         return answer
     commit = answer.ok_value
     if commit.applied:
-        return Ok(Written(commit.version))
+        return Ok(AppliedWrite(commit.version))
     found = next((row for row in commit.conflicts if row.key == key), None)
     if found is None:
         found = next(iter(commit.conflicts), None)
--- a/quetzalcourse/coordination/batches/batch_run.py
+++ b/quetzalcourse/coordination/batches/batch_run.py
@@ -33,9 +33,9 @@
     :param owner_version: version of the owner's row, which every commit
         names; once another daemon owns the batch no commit takes effect.
     :param due: time since boot at which its results are due.
-    :param given_up: time since boot after which items may be given up.
+    :param expires_at: time since boot after which items may be given up.
     :param saved_at: time since boot at which texts were saved last.
-    :param listed: results that stand in the store.
+    :param committed: results that stand in the store.
     :param finished: results that do not yet.
     """
 
@@ -43,9 +43,9 @@
     owner_version: int
     items: list[ItemRun]
     due: timedelta
-    given_up: timedelta
+    expires_at: timedelta
     saved_at: timedelta = timedelta(0)
-    listed: int = 0
+    committed: int = 0
     finished: list[ItemResult] = field(default_factory=list)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     committer: asyncio.Task[None] | None = None
@@ -53,7 +53,7 @@
     @property
     def done(self) -> bool:
         """Whether every result stands in the store."""
-        return self.listed >= self.head.total
+        return self.committed >= self.head.total
 
     def count_unfinished(self) -> int:
         """Count the items that have no result yet."""
@@ -84,7 +84,7 @@
 
     def save(self) -> dict[int, PartialText]:
         """Give the texts of unfinished items, by their ranks."""
-        saved = {run.rank: run.save() for run in self.items}
+        saved = {run.index: run.save() for run in self.items}
         return {
             rank: partial
             for rank, partial in saved.items()
@@ -97,7 +97,7 @@
         :param oldest: time since boot before which an attempt began.
         """
         return {
-            run.rank: partial
+            run.index: partial
             for run in self.items
             if _is_worth_saving(run, oldest)
             and (partial := run.save()) is not None
@@ -124,9 +124,9 @@
     A whole text is saved however quickly it was made: it waits for its
     score while the service that gives it is slow or away.
     """
-    if run.whole:
+    if run.text_complete:
         return not run.saved_whole
-    return run.began < oldest and run.last_event != run.saved_event
+    return run.started_at < oldest and run.last_event != run.saved_event
 
 
 def build_batch_run(
@@ -151,8 +151,8 @@
         owner_version,
         runs,
         due=accepted_at + timedelta(milliseconds=head.due_ms),
-        given_up=accepted_at + timedelta(milliseconds=head.lifetime_ms),
-        listed=len(results),
+        expires_at=accepted_at + timedelta(milliseconds=head.lifetime_ms),
+        committed=len(results),
     )
 
 
--- a/quetzalcourse/coordination/batches/batches.py
+++ b/quetzalcourse/coordination/batches/batch_service.py
@@ -10,13 +10,13 @@
 
 from quetzalcourse.coordination.batches.batch_rows import (
     HEAD,
-    Written,
+    AppliedWrite,
     name_row,
     split_items,
 )
 from quetzalcourse.coordination.batches.batch_run import build_batch_run
 from quetzalcourse.coordination.batches.coordinators import (
-    MAX_ITEMS,
+    MAX_OPEN_ITEMS,
     OfferOutcome,
 )
 from quetzalcourse.exceptions import QuetzalcourseError, RefusedError
@@ -61,7 +61,7 @@
     """Submission of which nobody can say whether it was accepted."""
 
 
-class Batches:
+class BatchService:
     """Serves the calls of callers about batches."""
 
     def __init__(
@@ -99,7 +99,7 @@
         """
         if self._directory.find(batch_id) is not None:
             return
-        if not self._runner.may_run(route, client_account):
+        if not self._runner.has_allowed_upstream(route, client_account):
             raise RefusedError(_refuse_regions())
         now = self._store_clock.estimate()
         if now is None:
@@ -113,7 +113,7 @@
             unsure = outcome is OfferOutcome.unknown
             await self._accept(head, submission.items, unsure=unsure)
 
-    async def take_offer(
+    async def accept_offer(
         self,
         head: BatchHead,
         items: Sequence[BatchItem],
@@ -126,7 +126,7 @@
         )
         able = (
             not self._members.own.leaving
-            and running + len(items) <= MAX_ITEMS
+            and running + len(items) <= MAX_OPEN_ITEMS
             and self._runner.manifest_version >= head.manifest_version
         )
         if not able:
@@ -191,7 +191,7 @@
         """
         view = await self._find(batch_id, client_account)
         assert view.head is not None  # noqa: S101
-        finished = view.ended or view.listed >= view.head.total
+        finished = view.ended or view.committed >= view.head.total
         wait_for = timedelta(0) if finished else wait
         answer = await self._reader.read(batch_id, position, wait_for)
         if isinstance(answer, Err):
@@ -261,7 +261,7 @@
         owner: Ownership,
         *,
         unsure: bool,
-    ) -> Written | None:
+    ) -> AppliedWrite | None:
         """Write a batch until it stands, here or by another daemon.
 
         :param unsure: whether a write of it may be under way already.
@@ -275,7 +275,7 @@
                 unsure |= answer.err_value.kind is FaultKind.unanswered
                 await self._clock.sleep(WRITE_RETRY)
                 continue
-            if isinstance(answer.ok_value, Written):
+            if isinstance(answer.ok_value, AppliedWrite):
                 return answer.ok_value
             replaced = await self._learn(head.id, answer.ok_value)
             if self._directory.find(head.id) is not None:
--- a/quetzalcourse/coordination/batches/adoption.py
+++ b/quetzalcourse/coordination/batches/batch_takeover.py
@@ -10,7 +10,7 @@
 
 from quetzalcourse.coordination.batches.batch_rows import (
     OWNER,
-    Written,
+    AppliedWrite,
     name_row,
 )
 from quetzalcourse.coordination.batches.batch_run import build_batch_run
@@ -45,7 +45,7 @@
 log = get_log('batches')
 
 
-class BatchKeeper:
+class BatchTakeover:
     """Keeps every open batch with a live owner.
 
     ``kept`` is the age of a batch until which its results are read.
@@ -62,7 +62,7 @@
         residency: Residency,
     ) -> None:
         """Watch the directory."""
-        self.kept = KEPT
+        self.result_retention = KEPT
         self._rows = rows
         self._directory = directory
         self._runner = runner
@@ -195,7 +195,7 @@
             answer = await self._rows.take(view.id, version, owner)
             if isinstance(answer, Err):
                 return
-            if not isinstance(answer.ok_value, Written):
+            if not isinstance(answer.ok_value, AppliedWrite):
                 row = answer.ok_value
                 if row.key == name_row(view.id, OWNER):
                     self._directory.adopt([row])
@@ -206,7 +206,7 @@
                 batch=view.id,
                 before=before.vm,
                 before_incarnation=before.incarnation,
-                listed=view.listed,
+                listed=view.committed,
             )
         view.owner = Ownership(own.vm, own.incarnation, before.term + 1)
         view.owner_version = max(version, view.owner_version)
@@ -236,7 +236,7 @@
         if now - self._removed_at < REMOVAL_INTERVAL:
             return
         age = store_now - view.head.accepted_ms * MILLISECOND
-        if age < self.kept + REMOVAL_MARGIN:
+        if age < self.result_retention + REMOVAL_MARGIN:
             return
         ranked = rank_members(view.id, self._presence.list_live())
         if ranked and ranked[0] == self._presence.own:
--- a/quetzalcourse/coordination/batches/batch_writer.py
+++ b/quetzalcourse/coordination/batches/batch_writer.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from quetzalcourse.coordination.batches.batch_rows import Written
+from quetzalcourse.coordination.batches.batch_rows import AppliedWrite
 from quetzalcourse.log import get_log
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
         answer = await self._rows.save(
             batch.head.id, batch.owner_version, partials
         )
-        saved = answer.is_ok() and isinstance(answer.unwrap(), Written)
+        saved = answer.is_ok() and isinstance(answer.unwrap(), AppliedWrite)
         self._counters.add('batch_texts_saved', saved=str(saved))
 
     async def _write(self, batch: BatchRun, results: list[ItemResult]) -> bool:
@@ -86,7 +86,7 @@
         unsure = False
         while True:
             answer = await self._rows.commit(
-                batch.head.id, batch.owner_version, batch.listed, results
+                batch.head.id, batch.owner_version, batch.committed, results
             )
             if isinstance(answer, Err):
                 # The write may have taken effect; only a later conflict
@@ -94,7 +94,7 @@
                 unsure = True
                 await self._clock.sleep(COMMIT_RETRY)
                 continue
-            written = isinstance(answer.ok_value, Written)
+            written = isinstance(answer.ok_value, AppliedWrite)
             if written or (unsure and await self._stands(batch, results)):
                 self._note(batch, results)
                 return True
@@ -102,15 +102,17 @@
 
     async def _stands(self, batch: BatchRun, results: list[ItemResult]) -> bool:
         while True:
-            answer = await self._rows.read_results(batch.head.id, batch.listed)
+            answer = await self._rows.read_results(
+                batch.head.id, batch.committed
+            )
             if isinstance(answer, Err):
                 await self._clock.sleep(COMMIT_RETRY)
                 continue
             return answer.ok_value[: len(results)] == results
 
     def _note(self, batch: BatchRun, results: list[ItemResult]) -> None:
-        position = batch.listed
-        batch.listed += len(results)
+        position = batch.committed
+        batch.committed += len(results)
         for listener in self._listeners:
             listener(batch.head.id, position, results)
         self._counters.add('batch_results', len(results))
--- a/quetzalcourse/coordination/batches/coordinators.py
+++ b/quetzalcourse/coordination/batches/coordinators.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from quetzalcourse.coordination.batches.failover import list_strong
+from quetzalcourse.coordination.batches.failover import list_high_capacity
 from quetzalcourse.coordination.slots.ownership import find_owner
 from quetzalcourse.coordination.tasks import Tasks
 from quetzalcourse.log import get_log
@@ -34,12 +34,12 @@
     from quetzalcourse.state.members import Member
 
 # Time that a coordinator has to answer an offer.
-OFFER_TIME = timedelta(milliseconds=150)
+OFFER_TIMEOUT = timedelta(milliseconds=150)
 # Unfinished items that a coordinator holds; larger batches run where they come
 # in, which spreads the streams.
-MAX_ITEMS = 640
+MAX_OPEN_ITEMS = 640
 # Size of an offer; larger batches run where they come in.
-MAX_BYTES = 1_000_000
+MAX_OFFER_BYTES = 1_000_000
 log = get_log('coordinators')
 
 
@@ -90,7 +90,7 @@
     :param members: live daemons.
     """
     near = [one for one in members if one.data_centre == own.data_centre]
-    return find_owner(model, list_strong(near)) or own
+    return find_owner(model, list_high_capacity(near)) or own
 
 
 class BatchCoordinators:
@@ -145,7 +145,7 @@
             return OfferOutcome.declined
         offered = BatchOffer(next(self._numbers), head, list(items))
         content = msgspec.msgpack.encode(offered)
-        if len(content) > MAX_BYTES:
+        if len(content) > MAX_OFFER_BYTES:
             return OfferOutcome.declined
         outcome = await self._send(coordinator, offered.number, content)
         log.info(
@@ -178,7 +178,7 @@
         self._waiting[number] = waiting
         self._peers.send(coordinator, Topic.batch_offered, content)
         try:
-            async with asyncio.timeout(OFFER_TIME.total_seconds()):
+            async with asyncio.timeout(OFFER_TIMEOUT.total_seconds()):
                 accepted = await waiting
         except TimeoutError:
             return OfferOutcome.unknown
--- a/quetzalcourse/coordination/batches/directory.py
+++ b/quetzalcourse/coordination/batches/directory.py
@@ -29,7 +29,7 @@
 class BatchView:
     """A batch as far as its small rows are known.
 
-    :param listed: how many results stand in the store.
+    :param committed: how many results stand in the store.
     """
 
     id: str
@@ -37,7 +37,7 @@
     head_version: int = 0
     owner: Ownership | None = None
     owner_version: int = 0
-    listed: int = 0
+    committed: int = 0
     ended: bool = False
 
     @property
@@ -50,7 +50,7 @@
         """Whether work on it is left."""
         if self.head is None or self.head.refused or self.ended:
             return False
-        return self.listed < self.head.total
+        return self.committed < self.head.total
 
 
 class BatchDirectory:
@@ -106,6 +106,6 @@
         view.owner_version = row.version
     elif name == PROGRESS:
         listed = msgspec.json.decode(row.content, type=int)
-        view.listed = max(view.listed, listed)
+        view.committed = max(view.committed, listed)
     elif name == END:
         view.ended = True
--- a/quetzalcourse/coordination/batches/lengths.py
+++ b/quetzalcourse/coordination/batches/duration_predictor.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class ModelTimes:
+class ModelDurations:
     """What the items of a model have shown.
 
     :param factor: logarithm of the seconds that an item took for each token
@@ -44,12 +44,12 @@
     pace: float
 
 
-class Lengths:
+class DurationPredictor:
     """Predicts how long items still take."""
 
     def __init__(self) -> None:
         """Begin without items."""
-        self._models: dict[str, ModelTimes] = {}
+        self._models: dict[str, ModelDurations] = {}
 
     def learn(
         self,
@@ -67,7 +67,7 @@
             return
         factor = math.log(seconds / estimate)
         pace = seconds / events
-        known = self._models.setdefault(model, ModelTimes(factor, pace))
+        known = self._models.setdefault(model, ModelDurations(factor, pace))
         known.factor += (factor - known.factor) * WEIGHT
         known.pace += (pace - known.pace) * WEIGHT
 
@@ -83,7 +83,9 @@
         seconds = math.exp(known.factor) * estimate - known.pace * made
         return timedelta(seconds=max(seconds, 0))
 
-    def count_left(self, model: str, estimate: int, made: int) -> int:
+    def predict_remaining_events(
+        self, model: str, estimate: int, made: int
+    ) -> int:
         """Estimate how many events an item still has before it.
 
         :param made: events that it has already. Lengths are so uneven that
@@ -110,9 +112,9 @@
 
     def _rank(self, one: tuple[BatchRun, ItemRun]) -> tuple[timedelta, int]:
         _, run = one
-        return self.find_latest_start(*one), -run.item.length_estimate
+        return self.compute_latest_start(*one), -run.item.length_estimate
 
-    def find_latest_start(self, batch: BatchRun, run: ItemRun) -> timedelta:
+    def compute_latest_start(self, batch: BatchRun, run: ItemRun) -> timedelta:
         """Tell when an item has to begin, or go on, to be whole in time."""
         model = batch.head.model
         estimate = run.item.length_estimate
--- a/quetzalcourse/coordination/batches/failover.py
+++ b/quetzalcourse/coordination/batches/failover.py
@@ -14,13 +14,15 @@
 
 # Machines below this share of the strongest one's processor time run no batch
 # while a stronger one lives.
-STRONG_SHARE = 0.75
+HIGH_CAPACITY_SHARE = 0.75
 
 
-def list_strong(members: Sequence[Member]) -> list[Member]:
+def list_high_capacity(members: Sequence[Member]) -> list[Member]:
     """List the members whose machines are among the strongest."""
     strongest = max((one.cores for one in members), default=0)
-    return [one for one in members if one.cores >= strongest * STRONG_SHARE]
+    return [
+        one for one in members if one.cores >= strongest * HIGH_CAPACITY_SHARE
+    ]
 
 
 def rank_successors(
@@ -37,7 +39,7 @@
         is among them.
     """
     others = [one for one in members if one.incarnation != owner]
-    strong = {one.incarnation for one in list_strong(others)}
+    strong = {one.incarnation for one in list_high_capacity(others)}
     weigh = partial(weigh_member, batch)
     return sorted(
         others, key=lambda one: (one.incarnation not in strong, weigh(one))
--- a/quetzalcourse/coordination/batches/item_run.py
+++ b/quetzalcourse/coordination/batches/item_run.py
@@ -39,29 +39,29 @@
 class ItemRun:
     """An item, and the text that upstreams have made of it so far.
 
-    :param rank: place in the order in which items are begun.
+    :param index: place in the order in which items are begun.
     :param isolated: whether it runs apart from other suspect requests.
     :param fingerprint: the same for all requests that are repeats of it.
     :param scoring_fingerprint: that of its scoring call, if it has one.
     :param retry_at: time since boot before which it isn't tried again.
     :param failures: attempts that its upstream called failed.
     :param scoring_failures: scoring calls that were answered as failed.
-    :param misses: attempts in a row that brought nothing.
+    :param failed_calls: attempts in a row that brought nothing.
     :param versions: weight versions that made the text, oldest first.
     :param last_event: number of the last event, ``None`` before the first.
     :param saved_event: last event of the text that was saved.
     :param saved_whole: whether it was saved as whole.
-    :param target: upstream where it is to go on, and where a slot is taken
-        for it; ``None`` if it stays.
+    :param migration_target: upstream where it is to go on, and where a slot
+        is taken for it; ``None`` if it stays.
     """
 
     item: BatchItem
-    rank: int
+    index: int
     state: ItemState = ItemState.waiting
     retry_at: timedelta = timedelta(0)
     failures: int = 0
     scoring_failures: int = 0
-    misses: int = 0
+    failed_calls: int = 0
     texts: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
     last_event: int | None = None
@@ -69,15 +69,15 @@
     saved_whole: bool = False
     upstream: str = ''
     avoided: str = ''
-    began: timedelta = timedelta(0)
-    target: Upstream | None = None
+    started_at: timedelta = timedelta(0)
+    migration_target: Upstream | None = None
     task: asyncio.Task[None] | None = None
     isolated: bool = False
     fingerprint: str = ''
     scoring_fingerprint: str = ''
 
     @property
-    def whole(self) -> bool:
+    def text_complete(self) -> bool:
         """Whether its text is whole and its score is missing."""
         return self.state in {ItemState.unscored, ItemState.scoring}
 
@@ -86,7 +86,7 @@
         """Number of the last event for an upstream to go on behind."""
         return '' if self.last_event is None else str(self.last_event)
 
-    def follows(self, event: StreamEvent) -> bool:
+    def is_next(self, event: StreamEvent) -> bool:
         """Tell whether an event comes right behind the last one."""
         return self.last_event is None or event.number == self.last_event + 1
 
@@ -97,19 +97,19 @@
         """
         self.last_event = event.number
         self.texts.append(event.text)
-        self.misses = 0
+        self.failed_calls = 0
         if version and version not in self.versions:
             self.versions.append(version)
 
-    def expect_score(self) -> None:
+    def await_score(self) -> None:
         """Note that the text is whole and wants its score."""
         self.state = ItemState.unscored
         self.upstream = ''
         self.avoided = ''
-        self.misses = 0
+        self.failed_calls = 0
         self.retry_at = timedelta(0)
 
-    def restart(self) -> None:
+    def reset_text(self) -> None:
         """Drop the text, to begin anew."""
         self.texts.clear()
         self.versions.clear()
@@ -120,13 +120,13 @@
         if self.last_event is None or self.state is ItemState.finished:
             return None
         self.saved_event = self.last_event
-        self.saved_whole = self.whole
+        self.saved_whole = self.text_complete
         return PartialText(
             self.item.id,
             list(self.texts),
             list(self.versions),
             self.last_event,
-            self.whole,
+            self.text_complete,
             self.scoring_failures,
         )
 
@@ -140,14 +140,14 @@
             if partial.whole:
                 self.state = ItemState.unscored
 
-    def postpone(self, now: timedelta) -> None:
+    def back_off(self, now: timedelta) -> None:
         """Wait before the next attempt, longer with each miss."""
-        doublings = min(self.misses, MAX_DOUBLINGS)
+        doublings = min(self.failed_calls, MAX_DOUBLINGS)
         wait = min(FIRST_RETRY * 2**doublings, MAX_RETRY)
-        self.misses += 1
+        self.failed_calls += 1
         self.retry_at = now + wait
 
-    def complete(self, score: str = '') -> ItemResult:
+    def build_completed_result(self, score: str = '') -> ItemResult:
         """Give the result of an item whose text is whole.
 
         :param score: what its scoring call said, if it has one.
@@ -160,6 +160,6 @@
             score,
         )
 
-    def abandon(self) -> ItemResult:
+    def build_abandoned_result(self) -> ItemResult:
         """Give the result of an item that is given up."""
         return ItemResult(self.item.id, ResultState.abandoned)
--- a/quetzalcourse/coordination/batches/migration.py
+++ b/quetzalcourse/coordination/batches/migration.py
@@ -34,7 +34,7 @@
 SPARE_SLOTS = 1
 
 
-def choose_target(
+def choose_migration_target(
     here: Upstream,
     others: Iterable[Upstream],
     left: int,
--- a/quetzalcourse/coordination/batches/owner_watch.py
+++ b/quetzalcourse/coordination/batches/owner_watch.py
@@ -29,7 +29,7 @@
     from quetzalcourse.state.clock import Clock
 
 # Two of them may have died with the owner, as in a data centre that is lost.
-WATCHERS = 3
+WATCHERS_PER_BATCH = 3
 # An owner's row changes each half second.
 WATCH_INTERVAL = timedelta(milliseconds=300)
 # As often as the rows of batches are read in a large deployment.
@@ -103,7 +103,7 @@
             self._presence.find_data_centre(view.owner),
         )
         ranked = rank_successors(view.id, owner, holders)
-        chosen = self._presence.own in ranked[:WATCHERS]
+        chosen = self._presence.own in ranked[:WATCHERS_PER_BATCH]
         self._choices[view.id] = (view.owner_version, now, chosen)
         return chosen
 
--- a/quetzalcourse/coordination/batches/placement.py
+++ b/quetzalcourse/coordination/batches/placement.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.batches.migration import choose_target
+from quetzalcourse.coordination.batches.migration import choose_migration_target
 from quetzalcourse.coordination.batches.token_latencies import (
     find_median_latency,
     rank_latency,
@@ -37,27 +37,27 @@
 class PlacementRequest:
     """What an item needs of its upstream.
 
-    :param oldest: oldest weight version that may make its tokens.
+    :param min_version: oldest weight version that may make its tokens.
     :param avoided: upstream that it has just left.
     :param latest_start: time since boot at which it has to begin to be whole
         in time.
     :param allowed_regions: where it may run.
-    :param occupied: upstreams where it must not run for now.
+    :param excluded: upstreams where it must not run for now.
     """
 
     service: str
     model: str
-    oldest: int
+    min_version: int
     avoided: str = ''
     latest_start: timedelta = timedelta(0)
     allowed_regions: AllowedRegions = None
-    occupied: Collection[str] = ()
+    excluded: Collection[str] = ()
 
     @property
     def key(self) -> PlacementKey:
         """What decides whether any slot is free for it."""
         return PlacementKey(
-            self.service, self.model, self.oldest, self.allowed_regions
+            self.service, self.model, self.min_version, self.allowed_regions
         )
 
 
@@ -98,12 +98,12 @@
         return [
             upstream
             for upstream in self._pool.sample_service(need.service)
-            if upstream.fits(need.model, need.oldest, now)
+            if upstream.fits(need.model, need.min_version, now)
             and upstream.is_allowed(need.allowed_regions)
-            and upstream.name not in need.occupied
+            and upstream.name not in need.excluded
         ]
 
-    def may_gain(self, upstream: Upstream) -> bool:
+    def is_slower_than_usual(self, upstream: Upstream) -> bool:
         """Tell whether an upstream is slower than is usual in its service.
 
         It spares most items the weighing of all upstreams.
@@ -112,7 +112,7 @@
             upstream.member.service
         )
 
-    def choose_target(
+    def choose_migration_target(
         self,
         need: PlacementRequest,
         upstream: Upstream,
@@ -130,7 +130,7 @@
             if not self._pool.cold_starts.is_cold(one)
             and self._allocator.is_available(one, need.latest_start)
         ]
-        return choose_target(upstream, free, left, now)
+        return choose_migration_target(upstream, free, left, now)
 
     def _find_usual_latency(self, service: str) -> float:
         now = self._clock.elapsed()
--- a/quetzalcourse/coordination/batches/result_notifications.py
+++ b/quetzalcourse/coordination/batches/result_notifications.py
@@ -28,7 +28,7 @@
     from quetzalcourse.state.members import Member
 
 # Callers let a read wait for a second; whoever waits longer asks again.
-WAIT_LIFE = timedelta(seconds=1.2)
+SUBSCRIPTION_TTL = timedelta(seconds=1.2)
 
 
 class ResultsSubscription(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     known: int
 
 
-class ResultsStand(msgspec.Struct, frozen=True):
+class ResultsCommitted(msgspec.Struct, frozen=True):
     """Results that stand in the store.
 
     :param listed: how many there are.
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiter:
+class Subscriber:
     """Daemon at which a caller waits.
 
     :param until: time since boot until which it does.
@@ -81,7 +81,7 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._waiters: dict[str, dict[str, Waiter]] = {}
+        self._waiters: dict[str, dict[str, Subscriber]] = {}
         peers.subscribe(Topic.results_awaited, self.on_awaited)
         peers.subscribe(Topic.results_stand, self.on_stand)
         reader.on_wait(self.ask)
@@ -109,12 +109,12 @@
         run = self._runner.batches.get(awaited.batch)
         if run is None:
             return
-        if run.listed > awaited.known:
-            self._tell(sender, awaited.batch, run.listed)
+        if run.committed > awaited.known:
+            self._tell(sender, awaited.batch, run.committed)
             return
-        until = self._clock.elapsed() + WAIT_LIFE
+        until = self._clock.elapsed() + SUBSCRIPTION_TTL
         waiters = self._waiters.setdefault(awaited.batch, {})
-        waiters[sender.vm] = Waiter(sender, until)
+        waiters[sender.vm] = Subscriber(sender, until)
 
     def on_committed(
         self,
@@ -128,11 +128,11 @@
 
     def on_stand(self, _: Member, content: bytes) -> None:
         """Wake the callers who wait for a batch's results."""
-        stand = msgspec.msgpack.decode(content, type=ResultsStand)
-        self._reader.on_listed(stand.batch, stand.listed)
+        stand = msgspec.msgpack.decode(content, type=ResultsCommitted)
+        self._reader.on_result_count(stand.batch, stand.listed)
 
     def _tell(self, receiver: Member, batch: str, listed: int) -> None:
-        content = msgspec.msgpack.encode(ResultsStand(batch, listed))
+        content = msgspec.msgpack.encode(ResultsCommitted(batch, listed))
         self._peers.send(receiver, Topic.results_stand, content)
 
     def _forget_old(self) -> None:
--- a/quetzalcourse/coordination/batches/result_reader.py
+++ b/quetzalcourse/coordination/batches/result_reader.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Shelf:
+class CachedResults:
     """Results of one batch that this daemon has read.
 
     :param changed: set when the store holds more than was read.
@@ -60,7 +60,7 @@
         """Begin without results."""
         self._rows = rows
         self._clock = clock
-        self._shelves: dict[str, Shelf] = {}
+        self._shelves: dict[str, CachedResults] = {}
         self._listeners: list[WaitListener] = []
         directory.on_change(self.on_batch)
 
@@ -69,9 +69,9 @@
         shelf = self._shelves.get(view.id)
         if shelf is not None and view.ended:
             shelf.changed.set()
-        self.on_listed(view.id, view.listed)
+        self.on_result_count(view.id, view.committed)
 
-    def on_listed(self, batch: str, listed: int) -> None:
+    def on_result_count(self, batch: str, listed: int) -> None:
         """Learn how many results of a batch stand.
 
         :param listed: at least as many stand in the store.
@@ -139,15 +139,15 @@
             for batch in unused:
                 self._shelves.pop(batch)
 
-    def _open(self, batch: str) -> Shelf:
-        shelf = self._shelves.setdefault(batch, Shelf())
+    def _open(self, batch: str) -> CachedResults:
+        shelf = self._shelves.setdefault(batch, CachedResults())
         shelf.used = self._clock.elapsed()
         return shelf
 
     async def _refresh(
         self,
         batch: str,
-        shelf: Shelf,
+        shelf: CachedResults,
     ) -> Result[None, StoreFault]:
         async with shelf.lock:
             known = len(shelf.results)
--- a/quetzalcourse/coordination/batches/runner.py
+++ b/quetzalcourse/coordination/batches/runner.py
@@ -8,9 +8,11 @@
 from typing import TYPE_CHECKING, Protocol
 
 from quetzalcourse.coordination.batches.item_run import ItemRun, ItemState
-from quetzalcourse.coordination.batches.lengths import Lengths
+from quetzalcourse.coordination.batches.duration_predictor import (
+    DurationPredictor,
+)
 from quetzalcourse.coordination.batches.placement import PlacementRequest
-from quetzalcourse.coordination.batches.slot_allocation import Waiting
+from quetzalcourse.coordination.batches.slot_allocation import SlotDemand
 from quetzalcourse.coordination.forwarding.route_table import choose_service
 from quetzalcourse.coordination.tasks import Tasks, wait_event
 from quetzalcourse.log import get_log
@@ -33,7 +35,7 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.routing import Route
 
-    WaitingListener = Callable[[Collection[Waiting]], None]
+    SlotDemandListener = Callable[[Collection[SlotDemand]], None]
 
 TICK = timedelta(milliseconds=50)
 # Interval at which the texts of long items are saved for a next owner.
@@ -88,24 +90,24 @@
         self._routes = residency.routes
         self._quarantine = quarantine
         self._clock = clock
-        self._lengths = Lengths()
+        self._lengths = DurationPredictor()
         self._writer = writer
         self._wake = asyncio.Event()
         self._tasks = Tasks('batches')
         self._begin_listeners: list[Callable[[], None]] = []
-        self._placed_listeners: list[WaitingListener] = []
+        self._placed_listeners: list[SlotDemandListener] = []
         self._any_unplaced = False
         scoring.on_end(self._wake.set)
 
-    def on_begin(self, listener: Callable[[], None]) -> None:
+    def on_batch_start(self, listener: Callable[[], None]) -> None:
         """Call a listener with each batch that is begun."""
         self._begin_listeners.append(listener)
 
-    def on_placed(self, listener: WaitingListener) -> None:
+    def on_placed(self, listener: SlotDemandListener) -> None:
         """Call a listener with what found no slot, after each placement."""
         self._placed_listeners.append(listener)
 
-    def on_slots(self) -> None:
+    def on_slots_freed(self) -> None:
         """Learn that slots of upstreams may have become free."""
         if self._any_unplaced:
             self._wake.set()
@@ -115,7 +117,7 @@
         """Version of the routing manifest by which items are sent."""
         return self._routes.version
 
-    def may_run(self, route: Route, client_account: str) -> bool:
+    def has_allowed_upstream(self, route: Route, client_account: str) -> bool:
         """Tell whether upstreams stand in the regions of a batch."""
         allowed = self._residency.find_allowed(route, client_account)
         if allowed is None:
@@ -149,12 +151,12 @@
                 'Batch is let go.',
                 batch=batch_id,
                 reason=reason,
-                listed=batch.listed,
+                listed=batch.committed,
                 total=batch.head.total,
             )
         return batch
 
-    def describe(self, counters: Counters) -> None:
+    def report_metrics(self, counters: Counters) -> None:
         """Show in the metrics what runs and what waits."""
         states = Counter(
             run.state for batch in self.batches.values() for run in batch.items
@@ -176,7 +178,7 @@
         now = self._clock.elapsed()
         waiting: list[tuple[BatchRun, ItemRun]] = []
         for batch in sorted(self.batches.values(), key=lambda one: one.due):
-            if now >= batch.given_up:
+            if now >= batch.expires_at:
                 self._give_up(batch)
                 continue
             self._save(batch, now)
@@ -196,18 +198,18 @@
         waiting: Sequence[tuple[BatchRun, ItemRun]],
     ) -> None:
         # Where one found no slot, the next one with the same need finds none.
-        full: dict[PlacementKey, Waiting] = {}
+        full: dict[PlacementKey, SlotDemand] = {}
         for batch, run in self._lengths.order(waiting):
             if not self._quarantine.may_begin(run.fingerprint):
                 continue
             need = self._find_need(batch, run)
             if need is None:
                 self._on_missing_route(batch, run)
-            elif need.occupied:
+            elif need.excluded:
                 # It may have to wait where others find a slot.
                 self._begin(batch, run, need)
             elif need.key not in full and not self._begin(batch, run, need):
-                full[need.key] = Waiting(need.key, need.latest_start)
+                full[need.key] = SlotDemand(need.key, need.latest_start)
         self._any_unplaced = bool(full)
         for listener in self._placed_listeners:
             listener(full.values())
@@ -216,7 +218,7 @@
         # A route that is not known yet is not one that was dropped: the
         # batch came in at a daemon with a newer manifest, which follows.
         if self._routes.version >= batch.head.manifest_version:
-            batch.finish(run, run.abandon())
+            batch.finish(run, run.build_abandoned_result())
 
     def _save(self, batch: BatchRun, now: timedelta) -> None:
         # An owner that dies takes the texts with it; of those that take
@@ -243,7 +245,7 @@
     def _start(self, batch: BatchRun, run: ItemRun, upstream: Upstream) -> None:
         run.state = ItemState.running
         run.upstream = upstream.name
-        run.began = self._clock.elapsed()
+        run.started_at = self._clock.elapsed()
         self._pool.on_send(upstream)
         run.isolated = self._quarantine.on_start(run.fingerprint, upstream.name)
         run.task = self._tasks.begin(self._attempt(batch, run, upstream))
@@ -259,27 +261,29 @@
             batch.head.model,
             batch.head.min_version,
             run.avoided,
-            self._lengths.find_latest_start(batch, run),
+            self._lengths.compute_latest_start(batch, run),
             self._residency.find_batch_regions(batch.head),
             self._quarantine.list_avoided(run.fingerprint),
         )
 
     def _review(self, batch: BatchRun, run: ItemRun) -> None:
         upstream = self._pool.find(run.upstream)
-        if run.target is not None or run.last_event is None:
+        if run.migration_target is not None or run.last_event is None:
             return
-        if upstream is None or not self._placement.may_gain(upstream):
+        if upstream is None or not self._placement.is_slower_than_usual(
+            upstream
+        ):
             return
         need = self._find_need(batch, run)
         if need is None:
             return
-        left = self._lengths.count_left(
+        left = self._lengths.predict_remaining_events(
             batch.head.model, run.item.length_estimate, len(run.texts)
         )
-        target = self._placement.choose_target(need, upstream, left)
+        target = self._placement.choose_migration_target(need, upstream, left)
         if target is None or not _may_go_on(batch, run, target):
             return
-        run.target = target
+        run.migration_target = target
         self._pool.on_start(target)
 
     async def _attempt(
@@ -308,14 +312,14 @@
                 batch.head.model,
                 run.item.length_estimate,
                 len(run.texts),
-                self._clock.elapsed() - run.began,
+                self._clock.elapsed() - run.started_at,
             )
         if result.state is ResultState.abandoned:
             log.warning(
                 'Item is given up.', batch=batch.head.id, item=run.item.id
             )
         elif run.item.scoring is not None:
-            run.expect_score()
+            run.await_score()
             return
         batch.finish(run, result)
 
@@ -328,8 +332,8 @@
         self._pool.on_end(upstream)
         if run.isolated:
             self._quarantine.on_finish(run.fingerprint, upstream.name)
-        target = run.target
-        run.target = None
+        target = run.migration_target
+        run.migration_target = None
         run.task = None
         self._wake.set()
         if target is None:
@@ -347,7 +351,7 @@
                 continue
             if run.task is not None:
                 run.task.cancel()
-            batch.finish(run, run.abandon())
+            batch.finish(run, run.build_abandoned_result())
 
     async def _commit(self, batch: BatchRun) -> None:
         done = await self._writer.commit(batch)
--- a/quetzalcourse/coordination/batches/scoring.py
+++ b/quetzalcourse/coordination/batches/scoring.py
@@ -167,8 +167,8 @@
         call = run.item.scoring
         assert call is not None  # noqa: S101
         began = self._clock.elapsed()
-        wait = find_wait(route, run.misses, self._timeouts)
-        timeout = min(wait, batch.given_up - began)
+        wait = compute_timeout(route, run.failed_calls, self._timeouts)
+        timeout = min(wait, batch.expires_at - began)
         try:
             outcome = await self._scorer.score(
                 call, run.scoring_fingerprint, upstream, timeout
@@ -188,7 +188,7 @@
                 upstream=upstream.name,
                 seconds=round(took.total_seconds(), 3),
             )
-            batch.finish(run, run.complete(outcome.score))
+            batch.finish(run, run.build_completed_result(outcome.score))
             return
         run.avoided = upstream.name
         self._miss(batch, run, upstream.name, outcome.reason)
@@ -229,7 +229,7 @@
                 item=run.item.id,
                 failures=run.scoring_failures,
             )
-            batch.finish(run, run.abandon())
+            batch.finish(run, run.build_abandoned_result())
 
     def _miss(
         self,
@@ -238,7 +238,7 @@
         upstream: str,
         reason: str,
     ) -> None:
-        run.postpone(self._clock.elapsed())
+        run.back_off(self._clock.elapsed())
         self._counters.add('scoring_calls_failed', reason=reason)
         log.info(
             'Scoring call failed.',
@@ -284,16 +284,16 @@
     return upstream.count_load(now) < most and not refusing
 
 
-def find_wait(
-    route: Route, misses: int, timeouts: AttemptTimeouts
+def compute_timeout(
+    route: Route, failed_calls: int, timeouts: AttemptTimeouts
 ) -> timedelta:
     """Tell how long a call may take.
 
-    :param misses: calls before it that brought no score.
+    :param failed_calls: calls before it that brought no score.
     """
     longest = route.target_latency or DEFAULT_TIMEOUT
     first = timeouts.find_wait(route.name, longest)
     # A text that waits for minutes has hundreds of misses behind it; so many
     # doublings of a duration are none any more, and would end its calls.
-    doublings = min(misses, MAX_DOUBLINGS)
+    doublings = min(failed_calls, MAX_DOUBLINGS)
     return min(first * 2**doublings, max(route.timeout, longest))
--- a/quetzalcourse/coordination/batches/slot_allocation.py
+++ b/quetzalcourse/coordination/batches/slot_allocation.py
@@ -35,13 +35,13 @@
 COORDINATOR_TTL = timedelta(seconds=15)
 # How much sooner an item must begin to go before those of the coordinator that
 # goes first; it keeps slots from passing to and fro.
-FIRST_MARGIN = timedelta(seconds=1)
+PREFERENCE_MARGIN = timedelta(seconds=1)
 # Time in which coordinators that begin together wait for each other's updates.
-SETTLING = timedelta(milliseconds=15)
+INITIAL_UPDATE_WAIT = timedelta(milliseconds=15)
 # Time after which a free slot that was left alone is no longer reserved.
 RESERVATION_TTL = timedelta(milliseconds=200)
 # Longest interval between two looks at a reserved slot.
-RESERVATION_INTERVAL = timedelta(milliseconds=120)
+MAX_RESERVATION_CHECK_GAP = timedelta(milliseconds=120)
 log = get_log('coordinators')
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class SlotDemand:
     """Items of one kind that wait for a slot.
 
     :param latest_start: time since boot at which the most urgent one of
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class OtherCoordinator:
+class PeerCoordinator:
     """Another daemon that runs batches, as it told last.
 
     :param taken: its running items at each upstream.
@@ -95,7 +95,7 @@
     member: Member
     heard: timedelta
     taken: dict[str, int] = field(default_factory=dict)
-    waiting: tuple[Waiting, ...] = ()
+    waiting: tuple[SlotDemand, ...] = ()
 
 
 class SlotAllocator:
@@ -109,7 +109,7 @@
         self._members = members
         self._pool = pool
         self._clock = clock
-        self._coordinators: dict[str, OtherCoordinator] = {}
+        self._coordinators: dict[str, PeerCoordinator] = {}
         self._firsts: dict[str, str] = {}
         self._firsts_of: set[str] = set()
         self._settled_at = timedelta(0)
@@ -124,19 +124,19 @@
             coordinator.member for coordinator in self._coordinators.values()
         ]
 
-    def on_begin(self) -> None:
+    def on_batch_start(self) -> None:
         """Learn that a batch begins here."""
         now = self._clock.elapsed()
         if self._joined_at is None or now - self._began_at > COORDINATOR_TTL:
             self._joined_at = now
         self._began_at = now
-        self._settled_at = now + SETTLING
+        self._settled_at = now + INITIAL_UPDATE_WAIT
 
     def on_update(
         self,
         sender: Member,
         taken: Mapping[str, int],
-        waiting: Collection[Waiting],
+        waiting: Collection[SlotDemand],
         *,
         whole: bool,
     ) -> None:
@@ -150,7 +150,7 @@
             coordinator is None
             or coordinator.member.incarnation != sender.incarnation
         ):
-            coordinator = OtherCoordinator(sender, now)
+            coordinator = PeerCoordinator(sender, now)
             self._coordinators[sender.vm] = coordinator
             log.info('Another coordinator shares upstreams.', peer=sender.vm)
         coordinator.heard = now
@@ -177,7 +177,7 @@
         elif now < self._settled_at:
             return False
         else:
-            mine = latest_start + FIRST_MARGIN
+            mine = latest_start + PREFERENCE_MARGIN
         return not any(
             self._goes_before(vm, coordinator, upstream, mine, first, now)
             for vm, coordinator in self._coordinators.items()
@@ -200,7 +200,7 @@
     def _goes_before(
         self,
         vm: str,
-        coordinator: OtherCoordinator,
+        coordinator: PeerCoordinator,
         upstream: Upstream,
         mine: timedelta,
         first: str,
@@ -209,7 +209,7 @@
         """Tell whether another coordinator's items go first."""
         if now - coordinator.heard > UPDATE_TTL:
             return False
-        margin = timedelta(0) if vm == first else FIRST_MARGIN
+        margin = timedelta(0) if vm == first else PREFERENCE_MARGIN
         wanted = any(
             one.latest_start + margin < mine and _fits(upstream, one.key, now)
             for one in coordinator.waiting
@@ -217,7 +217,7 @@
         return wanted and not self._is_left(upstream.name, coordinator, now)
 
     def _is_left(
-        self, name: str, coordinator: OtherCoordinator, now: timedelta
+        self, name: str, coordinator: PeerCoordinator, now: timedelta
     ) -> bool:
         """Tell whether the first coordinator left a free slot alone."""
         taken = coordinator.taken.get(name, 0)
@@ -225,7 +225,7 @@
         if (
             reservation is None
             or reservation.taken != taken
-            or now - reservation.seen > RESERVATION_INTERVAL
+            or now - reservation.seen > MAX_RESERVATION_CHECK_GAP
         ):
             reservation = SlotReservation(taken, now, now)
             self._reservations[name] = reservation
--- a/quetzalcourse/coordination/batches/slot_usage_updates.py
+++ b/quetzalcourse/coordination/batches/slot_usage_updates.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from quetzalcourse.coordination.batches.slot_allocation import (
-    Waiting,
+    SlotDemand,
     PlacementKey,
 )
 from quetzalcourse.state.members import Topic
@@ -31,7 +31,7 @@
 FULL_UPDATE_INTERVAL = timedelta(seconds=1)
 
 
-class WaitingUpdate(msgspec.Struct, frozen=True):
+class SlotDemandUpdate(msgspec.Struct, frozen=True):
     """Items of one kind that wait at the sender.
 
     :param seconds: until the most urgent one has to begin, below 0 if it is
@@ -50,7 +50,7 @@
     """
 
     taken: dict[str, int]
-    wants: list[WaitingUpdate]
+    wants: list[SlotDemandUpdate]
     whole: bool
 
 
@@ -76,7 +76,7 @@
         self._peers = peers
         self._clock = clock
         self._told: dict[str, int] = {}
-        self._told_waiting: frozenset[Waiting] = frozenset()
+        self._told_waiting: frozenset[SlotDemand] = frozenset()
         self._told_at = timedelta(0)
         self._whole_at = timedelta(0)
         self._beginning = False
@@ -87,17 +87,17 @@
         """Call a listener whenever another coordinator has told something."""
         self._listeners.append(listener)
 
-    def on_begin(self) -> None:
+    def on_batch_start(self) -> None:
         """Learn that a batch begins here."""
         self._beginning = True
-        self._allocator.on_begin()
+        self._allocator.on_batch_start()
 
     def on_message(self, sender: Member, content: bytes) -> None:
         """Take what another coordinator tells."""
         update = msgspec.msgpack.decode(content, type=SlotUsageUpdate)
         now = self._clock.elapsed()
         waiting = [
-            Waiting(one.key, now + timedelta(seconds=one.seconds))
+            SlotDemand(one.key, now + timedelta(seconds=one.seconds))
             for one in update.wants
         ]
         self._allocator.on_update(
@@ -106,7 +106,7 @@
         for listener in self._listeners:
             listener()
 
-    def tell(self, unplaced: Collection[Waiting]) -> None:
+    def send_update(self, unplaced: Collection[SlotDemand]) -> None:
         """Tell what changed since the last time, if anything did.
 
         :param unplaced: what waits for a slot here.
@@ -135,7 +135,7 @@
     def _is_due(
         self,
         taken: dict[str, int],
-        waiting: frozenset[Waiting],
+        waiting: frozenset[SlotDemand],
         now: timedelta,
     ) -> bool:
         if self._beginning:
@@ -165,6 +165,6 @@
         return list(by_vm.values())
 
 
-def _tell_waiting(waiting: Waiting, now: timedelta) -> WaitingUpdate:
+def _tell_waiting(waiting: SlotDemand, now: timedelta) -> SlotDemandUpdate:
     seconds = (waiting.latest_start - now).total_seconds()
-    return WaitingUpdate(waiting.key, round(seconds, 3))
+    return SlotDemandUpdate(waiting.key, round(seconds, 3))
--- a/quetzalcourse/coordination/duties/usage_windows.py
+++ b/quetzalcourse/coordination/duties/usage_windows.py
@@ -46,7 +46,7 @@
     counts: dict[str, int]
 
 
-class UsageReports(Protocol):
+class UsageReportSender(Protocol):
     """Where usage is reported."""
 
     async def send(self, report: WindowReport, token: int) -> bool:
@@ -90,7 +90,7 @@
             self._windows.pop(min(self._windows))
         self._on_count()
 
-    def inherit(self, usage: dict[str, dict[str, int]]) -> None:
+    def restore(self, usage: dict[str, dict[str, int]]) -> None:
         """Go on with the counts of the run before on the same VM."""
         for window, counts in usage.items():
             kept = self._windows.setdefault(int(window), Counter())
@@ -118,7 +118,7 @@
         self,
         presence: Presence,
         table: Table,
-        reports: UsageReports,
+        reports: UsageReportSender,
         lease: Lease,
         clock: Clock,
         counters: Counters,
--- a/quetzalcourse/coordination/versions/load_orders.py
+++ b/quetzalcourse/coordination/versions/load_controller.py
@@ -9,7 +9,10 @@
 from typing import TYPE_CHECKING, Protocol
 
 from quetzalcourse.coordination.tasks import Tasks, wait_event
-from quetzalcourse.coordination.versions.load_plan import LoadView, plan_loads
+from quetzalcourse.coordination.versions.load_plan import (
+    UpstreamVersions,
+    plan_loads,
+)
 from quetzalcourse.log import get_log
 
 if TYPE_CHECKING:
@@ -17,7 +20,7 @@
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.coordination.forwarding.route_table import RouteTable
     from quetzalcourse.coordination.leases.lease import Lease
-    from quetzalcourse.coordination.versions.load_plan import Load
+    from quetzalcourse.coordination.versions.load_plan import WeightLoad
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.routing import Service
@@ -64,7 +67,7 @@
         otherwise they end first.
     """
 
-    load: Load
+    load: WeightLoad
     sequence: int
     holder: str
     token: int
@@ -93,17 +96,19 @@
 class LoadListener(Protocol):
     """Wants to know of loads of weights."""
 
-    def on_begun(self, loads: list[Load], duration: timedelta) -> None:
+    def on_loads_started(
+        self, loads: list[WeightLoad], duration: timedelta
+    ) -> None:
         """Learn of loads that begin now.
 
         :param duration: how long they are expected to take.
         """
 
-    def on_done(self, load: Load) -> None:
+    def on_load_done(self, load: WeightLoad) -> None:
         """Learn that an upstream holds a version."""
 
 
-class LoadOrders:
+class LoadController:
     """Brings named versions onto the upstreams while it holds the lease.
 
     :param holder: name of this VM.
@@ -177,7 +182,7 @@
     def _plan_service(self, service: Service, named: dict[str, int]) -> None:
         now = self._clock.elapsed()
         views = [
-            LoadView(
+            UpstreamVersions(
                 upstream.name,
                 {model: upstream.find_version(model) for model in named},
                 self._models.get(upstream.name, ''),
@@ -190,11 +195,11 @@
         loads = plan_loads(views, named)
         if loads:
             for listener in self._listeners:
-                listener.on_begun(loads, LOAD_TIME + POLL)
+                listener.on_loads_started(loads, LOAD_TIME + POLL)
         for load in loads:
             self._begin(load, service)
 
-    def _begin(self, load: Load, service: Service) -> None:
+    def _begin(self, load: WeightLoad, service: Service) -> None:
         upstream = self._pool.find(load.upstream)
         if upstream is None:
             return
@@ -203,7 +208,7 @@
 
     async def _load(
         self,
-        load: Load,
+        load: WeightLoad,
         upstream: Upstream,
         service: Service,
     ) -> None:
@@ -214,7 +219,7 @@
             self._wake.set()
         if done:
             for listener in self._listeners:
-                listener.on_done(load)
+                listener.on_load_done(load)
         else:
             self._rests[load.upstream] = (
                 self._clock.elapsed() + FAILED_ORDER_BACKOFF
@@ -222,7 +227,7 @@
 
     async def _try_load(
         self,
-        load: Load,
+        load: WeightLoad,
         upstream: Upstream,
         service: Service,
     ) -> bool:
@@ -257,7 +262,9 @@
             return False
         return await self._await_version(load, upstream)
 
-    async def _await_version(self, load: Load, upstream: Upstream) -> bool:
+    async def _await_version(
+        self, load: WeightLoad, upstream: Upstream
+    ) -> bool:
         ends = self._clock.elapsed() + LOAD_TIMEOUT - LOAD_TIME
         while self._clock.elapsed() < ends:
             if upstream.find_version(load.model) >= load.version:
--- a/quetzalcourse/coordination/versions/load_plan.py
+++ b/quetzalcourse/coordination/versions/load_plan.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadView:
+class UpstreamVersions:
     """An upstream as the plan sees it.
 
     :param versions: weight version of each model.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class WeightLoad:
     """A version that an upstream is to load."""
 
     upstream: str
@@ -48,18 +48,18 @@
 
 
 def plan_loads(
-    upstreams: Sequence[LoadView],
+    upstreams: Sequence[UpstreamVersions],
     named: Mapping[str, int],
-) -> list[Load]:
+) -> list[WeightLoad]:
     """Choose the loads to begin now.
 
     :param upstreams: upstreams of one service that take work.
     :param named: newest named version of each of its models.
     """
     busy = {view.name for view in upstreams if view.loading}
-    uses = {view.name: count_uses(view, named) for view in upstreams}
+    uses = {view.name: count_usable_models(view, named) for view in upstreams}
     at_once = max(int(len(upstreams) * LOADING_SHARE), 1)
-    loads: list[Load] = []
+    loads: list[WeightLoad] = []
     share = -(-len(upstreams) // max(len(named), 1))
     by_need = sorted(
         named, key=lambda model: _count_fit(upstreams, model, named[model])
@@ -70,11 +70,13 @@
             if len(busy) < at_once and name not in busy:
                 busy.add(name)
                 uses[name] += 1
-                loads.append(Load(name, model, named[model]))
+                loads.append(WeightLoad(name, model, named[model]))
     return loads
 
 
-def count_uses(view: LoadView, named: Mapping[str, int]) -> int:
+def count_usable_models(
+    view: UpstreamVersions, named: Mapping[str, int]
+) -> int:
     """Count the models whose newest step an upstream may run."""
     return sum(
         _has(view, model, version - 1) for model, version in named.items()
@@ -82,7 +84,7 @@
 
 
 def _list_wanted(
-    upstreams: Sequence[LoadView],
+    upstreams: Sequence[UpstreamVersions],
     model: str,
     version: int,
     share: int,
@@ -109,13 +111,13 @@
     return [view.name for view in behind[: max(share - current, 0)]]
 
 
-def _has(view: LoadView, model: str, version: int) -> bool:
+def _has(view: UpstreamVersions, model: str, version: int) -> bool:
     """Tell whether an upstream has a version or is loading it."""
     return view.versions.get(model, 0) >= version or view.loading == model
 
 
 def _count_fit(
-    upstreams: Sequence[LoadView],
+    upstreams: Sequence[UpstreamVersions],
     model: str,
     version: int,
 ) -> int:
--- a/quetzalcourse/coordination/versions/load_updates.py
+++ b/quetzalcourse/coordination/versions/load_updates.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from quetzalcourse.coordination.versions.load_plan import Load
+from quetzalcourse.coordination.versions.load_plan import WeightLoad
 from quetzalcourse.state.members import Topic
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     :param seconds: how long they are expected to take, 0 for ended ones.
     """
 
-    loads: list[Load]
+    loads: list[WeightLoad]
     seconds: float
 
 
@@ -49,14 +49,16 @@
         self._peers = peers
         peers.subscribe(Topic.loads_told, self.on_message)
 
-    def on_begun(self, loads: list[Load], duration: timedelta) -> None:
+    def on_loads_started(
+        self, loads: list[WeightLoad], duration: timedelta
+    ) -> None:
         """Tell of loads that begin here.
 
         :param duration: how long they are expected to take.
         """
         self._tell(LoadsUpdate(loads, duration.total_seconds()))
 
-    def on_done(self, load: Load) -> None:
+    def on_load_done(self, load: WeightLoad) -> None:
         """Tell that an upstream holds a version."""
         self._tell(LoadsUpdate([load], 0))
 
--- a/quetzalcourse/deployment.py
+++ b/quetzalcourse/deployment.py
@@ -7,10 +7,14 @@
 if TYPE_CHECKING:
     from result import Result
 
-    from quetzalcourse.coordination.duties.usage_windows import UsageReports
+    from quetzalcourse.coordination.duties.usage_windows import (
+        UsageReportSender,
+    )
     from quetzalcourse.coordination.feeds.ports import ChangeFeed, StoreClock
     from quetzalcourse.coordination.ports import Table
-    from quetzalcourse.coordination.versions.load_orders import UpstreamControl
+    from quetzalcourse.coordination.versions.load_controller import (
+        UpstreamControl,
+    )
     from quetzalcourse.settings.rollout import RolloutSettings
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -101,7 +105,7 @@
     def open_control(self) -> UpstreamControl:
         """Open connections for orders to upstreams."""
 
-    def open_reports(self) -> UsageReports:
+    def open_reports(self) -> UsageReportSender:
         """Open connections for reports of usage."""
 
     async def close(self) -> None:
--- a/quetzalcourse/duty_parts.py
+++ b/quetzalcourse/duty_parts.py
@@ -10,7 +10,7 @@
 from quetzalcourse.coordination.duties.usage_windows import WindowReporter
 from quetzalcourse.coordination.leases.lease import Lease
 from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
-from quetzalcourse.coordination.versions.load_orders import LoadOrders
+from quetzalcourse.coordination.versions.load_controller import LoadController
 from quetzalcourse.incarnation import read_vm
 from quetzalcourse.state.lease import LeaseTerms
 
@@ -45,7 +45,7 @@
 
     lease: Lease
     keeper: LeaseKeeper
-    orders: LoadOrders
+    orders: LoadController
     reporter: WindowReporter
     leadership: timedelta
     duties: frozenset[str]
@@ -89,7 +89,7 @@
     )
     lease.is_predecessor = partial(_is_predecessor, incarnation)
     keeper = LeaseKeeper(lease, presence, wall_clock, counters)
-    orders = LoadOrders(
+    orders = LoadController(
         deployment.open_control(),
         lease,
         pool,
--- a/quetzalcourse/feed_parts.py
+++ b/quetzalcourse/feed_parts.py
@@ -127,7 +127,7 @@
         members,
         clock,
         counts.describe,
-        counts.inherit,
+        counts.restore,
         wall_clock,
     )
     reach = StoreReach(operators, heartbeats, clock)
--- a/quetzalcourse/platform/duties.py
+++ b/quetzalcourse/platform/duties.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Err
 
-from quetzalcourse.coordination.versions.load_orders import (
+from quetzalcourse.coordination.versions.load_controller import (
     OrderOutcome,
     UpstreamReport,
 )
@@ -20,7 +20,7 @@
 
     from quetzalcourse.coordination.duties.usage_windows import WindowReport
     from quetzalcourse.coordination.forwarding.upstream import Upstream
-    from quetzalcourse.coordination.versions.load_orders import LoadOrder
+    from quetzalcourse.coordination.versions.load_controller import LoadOrder
 
 OK = 200
 # A server that takes longer may act later; the lease ends after that.
--- a/quetzalcourse/rollout_application.py
+++ b/quetzalcourse/rollout_application.py
@@ -216,7 +216,7 @@
             self.routes,
             self.clock,
         )
-        self.batches.keeper.kept = self.settings.terms.batch_kept
+        self.batches.keeper.result_retention = self.settings.terms.batch_kept
         self.duties = build_duty_parts(
             self._deployment,
             self.store,
@@ -344,4 +344,4 @@
                 feed.silence.total_seconds(),
                 table=feed.table,
             )
-        self.batches.runner.describe(self.counters)
+        self.batches.runner.report_metrics(self.counters)
--- a/quetzalcourse/tests/coordination/batches/lengths_tests.py
+++ b/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
@@ -13,7 +13,9 @@
     build_batch_run,
 )
 from quetzalcourse.coordination.batches.item_run import ItemRun
-from quetzalcourse.coordination.batches.lengths import Lengths
+from quetzalcourse.coordination.batches.duration_predictor import (
+    DurationPredictor,
+)
 from quetzalcourse.state.batches import BatchHead, BatchItem
 
 DUE = 7500
@@ -41,7 +43,7 @@
     return [(batch, run) for batch in batches for run in batch.items]
 
 
-def teach(lengths: Lengths, count: int = 64) -> None:
+def teach(lengths: DurationPredictor, count: int = 64) -> None:
     """Show items whose estimates are right."""
     for number in range(count):
         events = 5 + number % 20
@@ -51,10 +53,10 @@
 
 def test_long_items_begin_first() -> None:
     """Also where they stand last in their batch."""
-    lengths = Lengths()
+    lengths = DurationPredictor()
     teach(lengths)
     batch = build_run('b', [500, 3000, 100, 6000])
-    ordered = [run.rank for _, run in lengths.order(list_waiting(batch))]
+    ordered = [run.index for _, run in lengths.order(list_waiting(batch))]
     assert ordered == [3, 1, 0, 2]
 
 
@@ -63,8 +65,8 @@
     # power. Its longest item, begun in the order of the batch, waits for a
     # second, and the trainer with it.
     batch = build_run('b', [100, 6000, 0, 500])
-    ordered = Lengths().order(list_waiting(batch))
-    assert [run.rank for _, run in ordered] == [1, 3, 0, 2]
+    ordered = DurationPredictor().order(list_waiting(batch))
+    assert [run.index for _, run in ordered] == [1, 3, 0, 2]
 
 
 def test_batch_that_is_due_sooner_goes_first_where_nothing_was_learned() -> (
@@ -73,24 +75,24 @@
     """Estimates order the items of batches that are due at the same time."""
     late = build_run('late', [100], due=DUE - 4000)
     new = build_run('new', [9000])
-    ordered = Lengths().order(list_waiting(new, late))
+    ordered = DurationPredictor().order(list_waiting(new, late))
     assert [batch.head.id for batch, _ in ordered] == ['late', 'new']
 
 
 def test_items_without_estimates_keep_their_order() -> None:
     """Whatever was learned of others."""
-    lengths = Lengths()
+    lengths = DurationPredictor()
     teach(lengths)
     batch = build_run('b', [0, 0, 0])
     ordered = lengths.order(list_waiting(batch))
-    assert [run.rank for _, run in ordered] == [0, 1, 2]
+    assert [run.index for _, run in ordered] == [0, 1, 2]
 
 
 def test_batch_that_is_due_sooner_goes_first() -> None:
     # A step is already three seconds late when the next one comes. Its short
     # items go before those of the new one that are no longer than the time
     # between them.
-    lengths = Lengths()
+    lengths = DurationPredictor()
     teach(lengths)
     late = build_run('late', [1000], due=DUE - 4000)
     new = build_run('new', [2000, 9000])
@@ -100,11 +102,11 @@
 
 def test_text_that_is_made_is_not_waited_for() -> None:
     """An item that goes on elsewhere counts by what is left of it."""
-    lengths = Lengths()
+    lengths = DurationPredictor()
     teach(lengths)
     batch = build_run('b', [4600, 2300])
     batch.items[0].texts = ['x'] * 90
-    ordered = [run.rank for _, run in lengths.order(list_waiting(batch))]
+    ordered = [run.index for _, run in lengths.order(list_waiting(batch))]
     assert ordered == [1, 0]
 
 
@@ -123,9 +125,11 @@
     left: int,
 ) -> None:
     """An item that is longer than estimated still goes on for a while."""
-    lengths = Lengths()
+    lengths = DurationPredictor()
     teach(lengths)
-    assert abs(lengths.count_left('m', estimate, made) - left) <= 1
+    assert (
+        abs(lengths.predict_remaining_events('m', estimate, made) - left) <= 1
+    )
 
 
 @dataclass(slots=True)
@@ -162,11 +166,11 @@
 
 def order_burst(items: list[Item]) -> list[Item]:
     """Order items as a daemon does that has learned their lengths."""
-    lengths = Lengths()
+    lengths = DurationPredictor()
     teach(lengths)
     batch = build_run('b', [item.estimate for item in items])
     ordered = lengths.order(list_waiting(batch))
-    return [items[run.rank] for _, run in ordered]
+    return [items[run.index] for _, run in ordered]
 
 
 @pytest.mark.parametrize('seed', range(6))
--- a/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
+++ b/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
@@ -11,7 +11,10 @@
 
 from quetzalcourse.coordination.batches.batch_rows import HEAD, OWNER, name_row
 from quetzalcourse.coordination.batches.directory import BatchDirectory
-from quetzalcourse.coordination.batches.owner_watch import WATCHERS, OwnerWatch
+from quetzalcourse.coordination.batches.owner_watch import (
+    WATCHERS_PER_BATCH,
+    OwnerWatch,
+)
 from quetzalcourse.coordination.batches.failover import rank_successors
 from quetzalcourse.coordination.feeds import heartbeats
 from quetzalcourse.coordination.feeds import presence as members
@@ -188,7 +191,7 @@
         self.feed.put(members.name_row(one), msgspec.json.encode(record))
 
 
-@pytest.mark.parametrize('rank', range(WATCHERS))
+@pytest.mark.parametrize('rank', range(WATCHERS_PER_BATCH))
 async def test_death_is_noticed_as_soon_among_many(rank: int) -> None:
     # The daemon that runs a step dies. Among two hundred daemons, each of
     # which heartbeats every few seconds, its silence said nothing for over five
@@ -203,8 +206,8 @@
     # Were each daemon to look closely at each owner, the store would refuse
     # the reads of a large deployment.
     world = WatchWorld(LARGE)
-    takers = [Daemon(world, one) for one in world.takers[:WATCHERS]]
-    bystander = Daemon(world, world.takers[WATCHERS])
+    takers = [Daemon(world, one) for one in world.takers[:WATCHERS_PER_BATCH]]
+    bystander = Daemon(world, world.takers[WATCHERS_PER_BATCH])
     await world.pass_time(WARM_UP)
     assert all(one.presence.is_watching(world.owner.vm) for one in takers)
     assert not bystander.presence.is_watching(world.owner.vm)
--- a/quetzalcourse/tests/coordination/batches/placement_tests.py
+++ b/quetzalcourse/tests/coordination/batches/placement_tests.py
@@ -123,14 +123,14 @@
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
         bench.set_pace(number, token_latency)
     slow = bench.find(0)
-    assert bench.placement.may_gain(slow)
-    target = bench.placement.choose_target(NEED, slow, 10)
+    assert bench.placement.is_slower_than_usual(slow)
+    target = bench.placement.choose_migration_target(NEED, slow, 10)
     assert target in (bench.find(1), bench.find(2))
     for fast in (1, 2):
         here = bench.find(fast)
-        assert bench.placement.choose_target(NEED, here, 10) is None
+        assert bench.placement.choose_migration_target(NEED, here, 10) is None
     bench.place(2 * SLOTS)
-    assert bench.placement.choose_target(NEED, slow, 10) is None
+    assert bench.placement.choose_migration_target(NEED, slow, 10) is None
 
 
 def test_items_leave_a_slow_engine_one_for_each_free_slot() -> None:
@@ -144,7 +144,9 @@
     fast.running = SLOTS - 3
     moved = 0
     for _ in range(10):
-        target = bench.placement.choose_target(NEED, bench.find(0), 10)
+        target = bench.placement.choose_migration_target(
+            NEED, bench.find(0), 10
+        )
         if target is not None:
             bench.pool.on_start(target)
             moved += 1
@@ -159,8 +161,10 @@
     bench.set_pace(0, 0.042)
     bench.set_pace(1, 0.032)
     here = bench.find(0)
-    assert bench.placement.choose_target(NEED, here, 100) is bench.find(1)
-    assert bench.placement.choose_target(NEED, here, 10) is None
+    assert bench.placement.choose_migration_target(
+        NEED, here, 100
+    ) is bench.find(1)
+    assert bench.placement.choose_migration_target(NEED, here, 10) is None
 
 
 @pytest.mark.parametrize('seed', range(5))
@@ -176,7 +180,7 @@
         for number in range(25):
             reading = max(noise.gauss(0.038, 0.01), 0.01)
             bench.pool.on_token_latency(bench.find(number), reading)
-        target = bench.placement.choose_target(NEED, here, 100)
+        target = bench.placement.choose_migration_target(NEED, here, 100)
         if target is not None:
             here = target
             moves += 1
@@ -190,7 +194,7 @@
         bench.set_pace(number, 0.038)
     slow = bench.find(0)
     readings = 0
-    while bench.placement.choose_target(NEED, slow, 40) is None:
+    while bench.placement.choose_migration_target(NEED, slow, 40) is None:
         bench.pool.on_token_latency(slow, 0.13)
         readings += 1
     assert readings * 0.13 / 6 < 1
@@ -217,7 +221,10 @@
     for number in (1, 2):
         bench.set_pace(number, 0.04)
     bench.pool.on_token_latency(bench.find(0), 0.5)
-    assert bench.placement.choose_target(NEED, bench.find(0), 100) is None
+    assert (
+        bench.placement.choose_migration_target(NEED, bench.find(0), 100)
+        is None
+    )
 
 
 def test_old_weights_and_loading_engines_are_left_out() -> None:
--- a/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
+++ b/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
@@ -10,7 +10,7 @@
 from result import Ok
 
 from quetzalcourse.coordination.batches.result_notifications import (
-    WAIT_LIFE,
+    SUBSCRIPTION_TTL,
     ResultNotifications,
 )
 from quetzalcourse.coordination.batches.result_reader import ResultReader
@@ -52,15 +52,15 @@
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.rows = FakeRows()
-        self.run = SimpleNamespace(listed=0)
+        self.run = SimpleNamespace(committed=0)
         self.owner, _ = self._build(OWNER, {'b': self.run})
         _, self.reader = self._build(READER, {})
 
     async def commit(self) -> None:
         """Let a result stand, and tell of it."""
         self.rows.results.append(RESULT)
-        self.run.listed += 1
-        self.owner.on_committed('b', self.run.listed - 1, [RESULT])
+        self.run.committed += 1
+        self.owner.on_committed('b', self.run.committed - 1, [RESULT])
         await settle()
 
     def _build(
@@ -104,7 +104,7 @@
     world = World()
     world.rows.looks_in_vain = 1
     world.rows.results.append(RESULT)
-    world.run.listed = 1
+    world.run.committed = 1
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
     assert reading.done()
@@ -117,7 +117,7 @@
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
     reading.cancel()
-    world.clock.move(WAIT_LIFE * 2)
+    world.clock.move(SUBSCRIPTION_TTL * 2)
     other = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
     other.cancel()
--- a/quetzalcourse/tests/coordination/batches/scoring_tests.py
+++ b/quetzalcourse/tests/coordination/batches/scoring_tests.py
@@ -9,7 +9,7 @@
 from quetzalcourse.coordination.batches.item_run import ItemRun, ItemState
 from quetzalcourse.coordination.batches.scoring import (
     choose_upstream,
-    find_wait,
+    compute_timeout,
     has_room,
 )
 from quetzalcourse.coordination.forwarding.attempt_timeouts import (
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    ('target', 'timeout', 'misses', 'expected'),
+    ('target', 'timeout', 'failed_calls', 'expected'),
     [
         (500, 2000, 0, 500),
         (500, 2000, 1, 1000),
@@ -133,12 +133,14 @@
 def test_timeout_grows_to_the_route_s_timeout(
     target: int,
     timeout: int,
-    misses: int,
+    failed_calls: int,
     expected: int,
 ) -> None:
     # A server that turned slow never answers within the first timeout. With
     # the same timeout for ever, its texts would never be scored.
-    found = find_wait(build_route(target, timeout), misses, AttemptTimeouts())
+    found = compute_timeout(
+        build_route(target, timeout), failed_calls, AttemptTimeouts()
+    )
     assert found == timedelta(milliseconds=expected)
 
 
@@ -149,11 +151,11 @@
     item = BatchItem('i', '/i', {}, b'', scoring=call)
     run = ItemRun(item, 0, ItemState.running, texts=['a'], last_event=1)
     run.scoring_failures = 1
-    run.expect_score()
+    run.await_score()
     saved = run.save()
     assert saved == PartialText('i', ['a'], [], 1, True, 1)
     successor = ItemRun(item, 0)
     successor.restore(saved)
     assert successor.state is ItemState.unscored
     assert successor.scoring_failures == 1
-    assert successor.complete('s').text == 'a'
+    assert successor.build_completed_result('s').text == 'a'
--- a/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
+++ b/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
@@ -13,8 +13,8 @@
 from quetzalcourse.coordination.batches.slot_allocation import (
     RESERVATION_TTL,
     UPDATE_TTL,
-    SETTLING,
-    Waiting,
+    INITIAL_UPDATE_WAIT,
+    SlotDemand,
 )
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.forwarding.upstream import Upstream
@@ -64,7 +64,7 @@
     def begin(self, items: int) -> None:
         """Begin a batch."""
         self.waiting += items
-        self.updates.on_begin()
+        self.updates.on_batch_start()
 
     def place(self) -> None:
         """Place as many items as find a slot, and tell the others."""
@@ -75,8 +75,8 @@
             self.waiting -= 1
             self.pool.on_start(upstream)
             self.running.append(upstream)
-        short = [Waiting(self.need.key, self.need.latest_start)]
-        self.updates.tell(short if self.waiting else [])
+        short = [SlotDemand(self.need.key, self.need.latest_start)]
+        self.updates.send_update(short if self.waiting else [])
 
     def finish(self, count: int) -> None:
         """End some items, spread over the upstreams."""
@@ -254,6 +254,6 @@
     coordinator.place()
     own = len(coordinator.running)
     assert own > 0
-    await world.pass_time(SETTLING + MESSAGE)
+    await world.pass_time(INITIAL_UPDATE_WAIT + MESSAGE)
     coordinator.place()
     assert len(coordinator.running) == UPSTREAMS * SLOTS
--- a/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
@@ -142,7 +142,7 @@
             self.pool.on_send(chosen)
             self.running.append((chosen.name, ITEM_TICKS))
             arrivals.add(chosen.name, self.clock.elapsed())
-        self.updates.tell([])
+        self.updates.send_update([])
 
     def send_request(self, arrivals: Arrivals) -> bool:
         """Send a request, unless no upstream may take it."""
@@ -156,14 +156,14 @@
 async def play_step(clock: FakeClock, daemons: list[Daemon]) -> Arrivals:
     """Let a step begin everywhere just after all upstreams restarted."""
     for daemon in daemons:
-        daemon.updates.on_begin()
-        daemon.updates.tell([])
+        daemon.updates.on_batch_start()
+        daemon.updates.send_update([])
     await settle()
     await clock.advance(UPDATE_TTL + TICK)
     arrivals = Arrivals()
     for daemon in daemons:
         daemon.announce(COLD.duration, started=2)
-        daemon.updates.on_begin()
+        daemon.updates.on_batch_start()
     for _ in range(COLD.duration // TICK):
         for daemon in daemons:
             daemon.place_items(arrivals)
@@ -219,7 +219,7 @@
     clock = FakeClock()
     daemon = build_coordinators(clock, cut=False)[0]
     daemon.announce(COLD.duration, started=2)
-    daemon.updates.on_begin()
+    daemon.updates.on_batch_start()
     arrivals = Arrivals()
     daemon.place_items(arrivals)
     assert not daemon.running
--- a/quetzalcourse/tests/coordination/versions/load_plan_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_plan_tests.py
@@ -5,35 +5,37 @@
 import pytest
 
 from quetzalcourse.coordination.versions.load_plan import (
-    Load,
-    LoadView,
-    count_uses,
+    WeightLoad,
+    UpstreamVersions,
+    count_usable_models,
     plan_loads,
 )
 
 STEPS = 12
 
 
-def build_views(count: int, models: tuple[str, ...]) -> list[LoadView]:
+def build_views(count: int, models: tuple[str, ...]) -> list[UpstreamVersions]:
     """Build upstreams at version 1 of every model."""
     return [
-        LoadView(f'e-{number:02d}', dict.fromkeys(models, 1))
+        UpstreamVersions(f'e-{number:02d}', dict.fromkeys(models, 1))
         for number in range(count)
     ]
 
 
-def carry_out(views: list[LoadView], loads: list[Load]) -> list[LoadView]:
+def carry_out(
+    views: list[UpstreamVersions], loads: list[WeightLoad]
+) -> list[UpstreamVersions]:
     """Show upstreams after their loads."""
     versions = {view.name: dict(view.versions) for view in views}
     for load in loads:
         versions[load.upstream][load.model] = load.version
-    return [LoadView(view.name, versions[view.name]) for view in views]
+    return [UpstreamVersions(view.name, versions[view.name]) for view in views]
 
 
 def load_all(
-    views: list[LoadView],
+    views: list[UpstreamVersions],
     named: dict[str, int],
-) -> tuple[list[LoadView], int]:
+) -> tuple[list[UpstreamVersions], int]:
     """Load in rounds until nothing is left to load.
 
     :returns: the upstreams, and how many rounds that took.
@@ -78,7 +80,7 @@
     # Five upstreams load at the same time and each takes twice as long.
     views = build_views(6, ('a', 'b'))
     assert len(plan_loads(views, {'a': 2, 'b': 2})) == 2
-    busy = [LoadView('e-00', {'a': 1, 'b': 1}, 'a'), *views[1:]]
+    busy = [UpstreamVersions('e-00', {'a': 1, 'b': 1}, 'a'), *views[1:]]
     assert len(plan_loads(busy, {'a': 2, 'b': 2})) == 1
 
 
@@ -86,22 +88,22 @@
     # An upstream two versions behind serves no step; one that is one behind
     # still does, and loading there would take it out.
     views = [
-        LoadView('near', {'a': 4}),
-        LoadView('far', {'a': 2}),
-        LoadView('here', {'a': 5}),
+        UpstreamVersions('near', {'a': 4}),
+        UpstreamVersions('far', {'a': 2}),
+        UpstreamVersions('here', {'a': 5}),
     ]
-    assert plan_loads(views, {'a': 5}) == [Load('far', 'a', 5)]
+    assert plan_loads(views, {'a': 5}) == [WeightLoad('far', 'a', 5)]
 
 
 def test_model_with_fewest_upstreams_goes_first() -> None:
     # One model's steps have upstreams and another's have none left.
-    views = [LoadView(f'e-{n}', {'a': 4, 'b': 1}) for n in range(2)]
+    views = [UpstreamVersions(f'e-{n}', {'a': 4, 'b': 1}) for n in range(2)]
     assert plan_loads(views, {'a': 5, 'b': 5})[0].model == 'b'
 
 
 def test_nothing_is_loaded_twice() -> None:
     """A load that runs counts as done."""
-    views = [LoadView('e-0', {'a': 1}, 'a')]
+    views = [UpstreamVersions('e-0', {'a': 1}, 'a')]
     assert not plan_loads(views, {'a': 2})
 
 
@@ -119,6 +121,6 @@
             named[name] = version
             views, _ = load_all(views, named)
             if version > 4:
-                uses = [count_uses(view, named) for view in views]
+                uses = [count_usable_models(view, named) for view in views]
                 assert min(uses) >= 1
                 assert max(uses) <= min(uses) + 2
--- a/quetzalcourse/tests/coordination/versions/load_updates_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_updates_tests.py
@@ -10,7 +10,7 @@
 )
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.versions.load_updates import LoadUpdates
-from quetzalcourse.coordination.versions.load_plan import Load
+from quetzalcourse.coordination.versions.load_plan import WeightLoad
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.pool import PoolMember
 from quetzalcourse.tests.clocks import FakeClock, settle
@@ -52,7 +52,7 @@
         allocator, _ = build_allocator(self.pool, self.clock)
         self.placement = Placement(self.pool, allocator, self.clock)
         self.loads = [
-            Load(f'e-{number}', 'verse', 2) for number in range(LOADING)
+            WeightLoad(f'e-{number}', 'verse', 2) for number in range(LOADING)
         ]
         elsewhere = Pool('hall-a', self.clock, Counters())
         none = FixedCoordinators()
@@ -78,7 +78,7 @@
     # half of the upstreams begin to load it. Each item that is sent there is
     # refused, and the longest of the step begins seconds late.
     world = World()
-    world.holder.on_begun(world.loads, LOAD_TIME)
+    world.holder.on_loads_started(world.loads, LOAD_TIME)
     await settle()
     loading = {load.upstream for load in world.loads}
     assert not world.list_eligible(EARLIER) & loading
@@ -93,10 +93,10 @@
     # The upstream's own entry tells of its new weights up to a second after
     # it could be used; until then its slots would stand idle.
     world = World()
-    world.holder.on_begun(world.loads, LOAD_TIME)
+    world.holder.on_loads_started(world.loads, LOAD_TIME)
     await settle()
     assert not world.list_eligible(NEWEST)
-    world.holder.on_done(world.loads[0])
+    world.holder.on_load_done(world.loads[0])
     await settle()
     assert world.list_eligible(NEWEST) == {world.loads[0].upstream}
 
@@ -105,7 +105,7 @@
     # The daemon that gave the order dies. Its upstreams would be taken for
     # loading for ever.
     world = World()
-    world.holder.on_begun(world.loads, LOAD_TIME)
+    world.holder.on_loads_started(world.loads, LOAD_TIME)
     await settle()
     world.clock.move(LOAD_TIME)
     assert len(world.list_eligible(EARLIER)) == UPSTREAMS
--- a/quetzalcourse/tests/rollout/batch_coordinators_tests.py
+++ b/quetzalcourse/tests/rollout/batch_coordinators_tests.py
@@ -84,7 +84,7 @@
     if end == 'dead':
         await neighbours.end_daemon(coordinator)
     elif end == 'full':
-        full = 'quetzalcourse.coordination.batches.batches.MAX_ITEMS'
+        full = 'quetzalcourse.coordination.batches.batch_service.MAX_OPEN_ITEMS'
         monkeypatch.setattr(full, 0)
     else:
         neighbours.doors[number].faults.mode = 'silent'
--- a/quetzalcourse/tests/rollout/scored_batches_tests.py
+++ b/quetzalcourse/tests/rollout/scored_batches_tests.py
@@ -59,7 +59,7 @@
     """Wait until every text stands whole at the first daemon."""
     batch = world.daemons[0].batches.runner.batches['b-1']
     async with asyncio.timeout(10):
-        while not all(run.whole for run in batch.items):
+        while not all(run.text_complete for run in batch.items):
             await asyncio.sleep(0.05)
 
 
--- a/quetzalcourse/transport/batch_routes.py
+++ b/quetzalcourse/transport/batch_routes.py
@@ -6,7 +6,7 @@
 
 from result import Err
 
-from quetzalcourse.coordination.batches.batches import OutcomeUnknownError
+from quetzalcourse.coordination.batches.batch_service import OutcomeUnknownError
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.log import get_log
 from quetzalcourse.state.calls import BatchVerb
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from sanic import Request
 
-    from quetzalcourse.coordination.batches.batches import Batches
+    from quetzalcourse.coordination.batches.batch_service import BatchService
     from quetzalcourse.state.calls import BatchCall
     from quetzalcourse.state.routing import Route
     from quetzalcourse.transport.dialect import CallerDialect
@@ -30,7 +30,7 @@
 class BatchRoutes:
     """Serves submissions and the calls about them."""
 
-    def __init__(self, batches: Batches, dialect: CallerDialect) -> None:
+    def __init__(self, batches: BatchService, dialect: CallerDialect) -> None:
         """Keep the parts."""
         self._batches = batches
         self._dialect = dialect
--- a/quetzalcourse/transport/item_calls.py
+++ b/quetzalcourse/transport/item_calls.py
@@ -73,7 +73,7 @@
         terms = AttemptTerms(
             upstream.name,
             head.client_account,
-            batch.given_up - now,
+            batch.expires_at - now,
             run.resume_after,
         )
         headers = self._dialect.write_item(run.item, head.host, terms)
@@ -96,13 +96,13 @@
                     upstream, run.item.id, run.fingerprint
                 )
             if error.state is LostState.not_sent:
-                run.postpone(self._clock.elapsed())
+                run.back_off(self._clock.elapsed())
             return None
         except GarbledStreamError as error:
             self._pool.on_failure(upstream, 'garbled')
             self._miss(batch, run, upstream, str(error))
             await self._ends.on_broken(upstream, run.item.id, run.fingerprint)
-            run.postpone(self._clock.elapsed())
+            run.back_off(self._clock.elapsed())
             return None
         if result is not None:
             log.info(
@@ -154,12 +154,12 @@
             self._miss(batch, run, upstream, f'status {answer.status}')
             return None
         if marks.state is AnswerState.impossible:
-            return run.abandon()
+            return run.build_abandoned_result()
         if marks.state is AnswerState.failed:
             return self._fail(batch, run, upstream, answer.status)
         if marks.state is AnswerState.unfinished:
             self._miss(batch, run, upstream, f'status {answer.status}')
-            run.postpone(self._clock.elapsed())
+            run.back_off(self._clock.elapsed())
             return None
         if marks.weight_version:
             self._pool.on_version(upstream, model, marks.weight_version)
@@ -173,7 +173,7 @@
         if not whole:
             return None
         self._pool.on_success(upstream)
-        return run.complete()
+        return run.build_completed_result()
 
     def _fail(
         self,
@@ -185,8 +185,8 @@
         run.failures += 1
         self._miss(batch, run, upstream, f'status {status}')
         if run.failures >= batch.head.max_attempts:
-            return run.abandon()
-        run.postpone(self._clock.elapsed())
+            return run.build_abandoned_result()
+        run.back_off(self._clock.elapsed())
         return None
 
     def _accepts(self, batch: BatchRun, run: ItemRun, version: int) -> bool:
@@ -194,7 +194,7 @@
             return False
         mixed = bool(run.versions) and version not in run.versions
         if batch.head.single_version and mixed:
-            run.restart()
+            run.reset_text()
             return False
         return True
 
@@ -225,7 +225,7 @@
             reading = token_latency.read(self._clock.elapsed(), len(frames))
             if reading is not None:
                 self._pool.on_token_latency(upstream, reading)
-            if run.target is not None:
+            if run.migration_target is not None:
                 self._miss(batch, run, upstream, 'moved')
                 return False
         if rest.strip():
@@ -236,6 +236,6 @@
         event = self._dialect.read_event(frame)
         if event is None:
             raise GarbledStreamError('no event')
-        if not run.follows(event):
+        if not run.is_next(event):
             raise GarbledStreamError('event out of order')
         return event
