--- a/bench/suites/fleet.py
+++ b/bench/suites/fleet.py
@@ -10,7 +10,10 @@
 from typing import TYPE_CHECKING
 
 from bench.figure import Figure, at_least, at_most
-from quetzalcourse.coordination.fleet.fleet import measure_rate, plan_fleet
+from quetzalcourse.coordination.fleet.fleet_planner import (
+    compute_hourly_cost,
+    plan_fleet,
+)
 from quetzalcourse.state.fleet import Demand, FleetPlace, FleetView
 from quetzalcourse.state.manifest import FleetKind, FleetPlan
 
@@ -95,7 +98,7 @@
     ordered: deque[Counts] = deque(maxlen=START_MINUTES)
     for moment in moments:
         counts = find_running(ordered, moment)
-        outcome.spent += measure_rate(PLAN, counts) / 60
+        outcome.spent += compute_hourly_cost(PLAN, counts) / 60
         serve(outcome, moment.demand, counts)
         ordered.append(rule(moment, counts))
     return outcome
--- a/bench/suites/steps.py
+++ b/bench/suites/steps.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from bench.figure import Figure, at_most
-from quetzalcourse.coordination.steps.dispatch_order import LengthMemory
+from quetzalcourse.coordination.steps.dispatch_order import LengthEstimator
 from quetzalcourse.standins.rollouts import ScriptedEngine
 from quetzalcourse.standins.virtual_time import run_virtual
 from quetzalcourse.tests.step_world import (
@@ -53,7 +53,7 @@
 SEED = 5
 
 
-class NoLengths(LengthMemory):
+class NoLengths(LengthEstimator):
     """Memory that learns nothing: samples begin first come, first served."""
 
     def observe(self, trainer: str, prompt: str, tokens: int) -> None:
@@ -267,7 +267,7 @@
     async def _kill_runner(self, spec: StepSpec, after: float) -> None:
         await asyncio.sleep(after)
         steps = self._world.daemons[0].steps
-        progress = (await steps.observe(spec.trainer, spec.step)).unwrap()
+        progress = (await steps.get_progress(spec.trainer, spec.step)).unwrap()
         for daemon in tuple(self._world.daemons):
             run = progress.run
             if run and run.holder == daemon.member.incarnation:
--- a/bench/suites/waves.py
+++ b/bench/suites/waves.py
@@ -127,7 +127,7 @@
         if not wave.count_behind(views):
             found.seconds = now
             return found
-        for swap in wave.choose(timedelta(seconds=now), views):
+        for swap in wave.choose_swaps(timedelta(seconds=now), views):
             engines[swap.engine].load(now)
             found.loads.append(now)
         serving = sum(one.is_serving(now) for one in engines.values())
--- a/quetzalcourse/application.py
+++ b/quetzalcourse/application.py
@@ -17,7 +17,7 @@
     ServiceLevels,
 )
 from quetzalcourse.coordination.membership.status import StatusBoard
-from quetzalcourse.coordination.steps.step_assembly import build_steps
+from quetzalcourse.coordination.steps.step_assembly import build_step_service
 from quetzalcourse.incarnation import name_incarnation
 from quetzalcourse.lifecycle import Lifecycle
 from quetzalcourse.log import get_log
@@ -98,7 +98,7 @@
         await self._server.start()
         self.lifecycle.run('burn ledger', self.burn_ledger.run)
         self.lifecycle.run('upstreams', self.upstreams.observer.run)
-        self.lifecycle.run('steps', self.steps.follow_open_steps)
+        self.lifecycle.run('steps', self.steps.adopt_orphaned_steps)
         self.lease_parts.start(self.lifecycle)
         self.weights.start(self.lifecycle)
         log.info(
@@ -168,7 +168,7 @@
         )
         self.generation = self.upstreams.generation
         self.service_levels = ServiceLevels(self.clock, self.counters)
-        self.steps = build_steps(
+        self.steps = build_step_service(
             self.platform,
             self.generation,
             self.clock,
--- a/quetzalcourse/commands/usage.py
+++ b/quetzalcourse/commands/usage.py
@@ -11,8 +11,11 @@
 
 from quetzalcourse.commands.output import write_json, write_line, write_table
 from quetzalcourse.commands.platform import add_platform_option, open_platform
-from quetzalcourse.coordination.usage.usage_reports import name_report
-from quetzalcourse.coordination.usage.usage_rows import name_row, read_entries
+from quetzalcourse.coordination.usage.usage_reports import build_report_key
+from quetzalcourse.coordination.usage.usage_rows import (
+    build_row_key,
+    decode_entries,
+)
 from quetzalcourse.exceptions import AbortError
 from quetzalcourse.loop import run_loop
 from quetzalcourse.state.usage import (
@@ -84,7 +87,7 @@
         the daemons' shares in them.
     :raises AbortError: if the table can't be read or there is no report.
     """
-    answer = await table.read(name_report(window))
+    answer = await table.read(build_report_key(window))
     if isinstance(answer, Err):
         raise AbortError(f"the platform's table gave no answer: {answer}")
     if answer.ok_value is None:
@@ -95,10 +98,10 @@
     reported = index_entries(report.entries)
     shares = []
     for incarnation in report.sources:
-        row = await table.read(name_row(window, incarnation))
+        row = await table.read(build_row_key(window, incarnation))
         if isinstance(row, Err):
             raise AbortError(f"the platform's table gave no answer: {row}")
-        counted = read_entries(row.ok_value)
+        counted = decode_entries(row.ok_value)
         shares.extend(list_shares(incarnation, window, counted))
     for late in report.late:
         counted = index_entries(late.entries)
--- a/quetzalcourse/coordination/fleet/fleet_keeper.py
+++ b/quetzalcourse/coordination/fleet/fleet_controller.py
@@ -7,17 +7,20 @@
 
 from result import Err
 
-from quetzalcourse.coordination.fleet.fleet import measure_rate, plan_fleet
+from quetzalcourse.coordination.fleet.fleet_planner import (
+    compute_hourly_cost,
+    plan_fleet,
+)
 from quetzalcourse.log import get_log
 from quetzalcourse.state.fleet import FleetPlace, FleetView, SpendingRecord
 from quetzalcourse.state.manifest import FleetPlan, Manifest
 
 if TYPE_CHECKING:
-    from quetzalcourse.coordination.fleet.fleet_demand import DemandShares
+    from quetzalcourse.coordination.fleet.fleet_demand import DemandAggregator
     from quetzalcourse.coordination.leases.lease import Lease
     from quetzalcourse.coordination.fleet.orders import FleetOrders
     from quetzalcourse.coordination.ports import UpstreamOrders
-    from quetzalcourse.coordination.fleet.spending import Spending
+    from quetzalcourse.coordination.fleet.spending import SpendingTracker
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.fleet import Demand, FleetCount, FleetDecision
@@ -26,7 +29,7 @@
 log = get_log('fleet')
 
 
-class FleetKeeper:
+class FleetController:
     """Decides and orders every few seconds while the lease is held.
 
     A new holder waits for the shares of all daemons before it decides:
@@ -38,8 +41,8 @@
         lease: Lease,
         platform: UpstreamOrders,
         orders: FleetOrders,
-        spending: Spending,
-        demand: DemandShares,
+        spending: SpendingTracker,
+        demand: DemandAggregator,
         clock: Clock,
         counters: Counters,
     ) -> None:
@@ -77,12 +80,12 @@
         counts = {one.place: one.count for one in listed.ok_value}
         self._note_growth(counts)
         spent = await self._spending.update(
-            measure_rate(self._plan, counts), self._plan.budget_period
+            compute_hourly_cost(self._plan, counts), self._plan.budget_period
         )
         if isinstance(spent, Err) or not self._is_settled():
             return
         view = self._build_view(counts, listed.ok_value, spent.ok_value)
-        demand = self._demand.sum_up()
+        demand = self._demand.aggregate()
         decision = plan_fleet(self._plan, demand, view)
         self._show(decision, demand, spent.ok_value)
         await self._orders.reconcile(decision.counts, counts, self._plan.notice)
--- a/quetzalcourse/coordination/fleet/fleet_demand.py
+++ b/quetzalcourse/coordination/fleet/fleet_demand.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import MemberView, Peers
-    from quetzalcourse.coordination.usage.usage import UsageCounter
+    from quetzalcourse.coordination.usage.usage_counter import UsageCounter
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
@@ -22,7 +22,7 @@
 VALID = timedelta(seconds=35)
 
 
-class DemandShares:
+class DemandAggregator:
     """Tells the contenders for a lease what each daemon's callers ask for.
 
     The contenders are known to every daemon without asking the store, and
@@ -67,7 +67,7 @@
             if member.incarnation != own.incarnation:
                 self._peers.send(member, Topic.demand, content)
 
-    def sum_up(self) -> Demand:
+    def aggregate(self) -> Demand:
         """Add the shares that were sent lately."""
         oldest = self._clock.elapsed() - VALID
         self._shares = {
--- a/quetzalcourse/coordination/fleet/fleet.py
+++ b/quetzalcourse/coordination/fleet/fleet_planner.py
@@ -39,7 +39,7 @@
     return _fit_budget(plan, demand, view, counts)
 
 
-def measure_rate(plan: FleetPlan, counts: Counts) -> float:
+def compute_hourly_cost(plan: FleetPlan, counts: Counts) -> float:
     """Tell what upstreams cost an hour; unknown kinds cost nothing."""
     return sum(
         plan.kinds[place.kind].price_per_hour * count
@@ -175,7 +175,7 @@
     for kind in reversed(_rank(plan)):
         for data_centre in kind.data_centres:
             place = FleetPlace(data_centre, kind.name)
-            while measure_rate(plan, fitted) > allowed:
+            while compute_hourly_cost(plan, fitted) > allowed:
                 if fitted[place] <= view.counts.get(place, 0):
                     break
                 fitted[place] -= 1
--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -48,7 +48,7 @@
     return SpendingRecord(started, now, before + hours * record.rate, rate)
 
 
-class Spending:
+class SpendingTracker:
     """Keeps the spending while the lease on platform orders is held."""
 
     def __init__(self, table: Table, lease: Lease, clock: Clock) -> None:
--- a/quetzalcourse/coordination/requests/generation.py
+++ b/quetzalcourse/coordination/requests/generation.py
@@ -34,7 +34,7 @@
     from quetzalcourse.coordination.ports import Engines
     from quetzalcourse.coordination.requests.retries import RetryBudget
     from quetzalcourse.coordination.routing.routing import Router
-    from quetzalcourse.coordination.usage.usage import UsageCounter
+    from quetzalcourse.coordination.usage.usage_counter import UsageCounter
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.generation import Chunk, GenerationRequest
--- a/quetzalcourse/coordination/requests/services.py
+++ b/quetzalcourse/coordination/requests/services.py
@@ -22,7 +22,7 @@
     from quetzalcourse.coordination.routing.health import Health
     from quetzalcourse.coordination.requests.retries import RetryBudget
     from quetzalcourse.coordination.routing.routing import Router
-    from quetzalcourse.coordination.usage.usage import UsageCounter
+    from quetzalcourse.coordination.usage.usage_counter import UsageCounter
     from quetzalcourse.state.clock import Clock
 
 SERVICE_PATIENCE = timedelta(seconds=30)
--- a/quetzalcourse/coordination/steps/dispatch_order.py
+++ b/quetzalcourse/coordination/steps/dispatch_order.py
@@ -12,7 +12,7 @@
 UNKNOWN_FACTOR = 1.5
 
 
-class LengthMemory:
+class LengthEstimator:
     """Lengths of samples, learnt for each trainer and prompt.
 
     Bounded: the prompts that were seen least lately are forgotten.
@@ -36,7 +36,7 @@
             self._prompts.popitem(last=False)
         self._trainers[trainer] = _blend(self._trainers.get(trainer), tokens)
 
-    def expect(self, trainer: str, prompt: str) -> float:
+    def estimate(self, trainer: str, prompt: str) -> float:
         """Tell how many tokens a sample should have.
 
         A prompt that was never seen counts as longer than most, so that it
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        memory: LengthMemory,
+        memory: LengthEstimator,
         trainer: str,
         prompts: tuple[str, ...],
     ) -> None:
@@ -95,7 +95,7 @@
         return SampleKey(group, index)
 
     def _rank(self, group: int) -> tuple[float, int, int]:
-        expected = self._memory.expect(self._trainer, self._prompts[group])
+        expected = self._memory.estimate(self._trainer, self._prompts[group])
         return expected, -self._groups[group][-1], -group
 
 
--- a/quetzalcourse/coordination/steps/dispatching.py
+++ b/quetzalcourse/coordination/steps/dispatching.py
@@ -12,7 +12,7 @@
 
 from quetzalcourse.coordination.steps.dispatch_order import (
     Backlog,
-    LengthMemory,
+    LengthEstimator,
 )
 from quetzalcourse.coordination.steps.sample_making import (
     MakingParts,
@@ -81,7 +81,7 @@
     clock: Clock
     counters: Counters
     newest: NewestVersions
-    lengths: LengthMemory
+    lengths: LengthEstimator
     budget: MakingBudget
     plan: RescuePlan = plan_rescues
 
--- a/quetzalcourse/coordination/steps/sample_making.py
+++ b/quetzalcourse/coordination/steps/sample_making.py
@@ -204,7 +204,7 @@
     def _take(self, stream: Stream, chunk: Chunk) -> None:
         stream.extend(chunk, self.parts.clock.elapsed())
         model = self.order.spec.model
-        self.parts.newest.learn(model, chunk.weight_version)
+        self.parts.newest.observe(model, chunk.weight_version)
         self._wait = FIRST_WAIT
         if not self._began:
             self._began = True
@@ -226,7 +226,7 @@
     def _find_oldest_allowed(self) -> int:
         spec = self.order.spec
         return find_oldest_allowed(
-            spec, self.parts.newest.tell_known(spec.model)
+            spec, self.parts.newest.get_cached(spec.model)
         )
 
     def _build_request(self, stream: Stream, number: int) -> GenerationRequest:
--- a/quetzalcourse/coordination/steps/sample_pipeline.py
+++ b/quetzalcourse/coordination/steps/sample_pipeline.py
@@ -165,7 +165,7 @@
             waited += COMMIT_TICK
 
     def _choose_fresh(self, samples: list[Sample]) -> tuple[Sample, ...]:
-        newest = self._parts.newest.tell_known(self._spec.model)
+        newest = self._parts.newest.get_cached(self._spec.model)
         oldest = find_oldest_allowed(self._spec, newest)
         stale = [
             sample for sample in samples if not is_deliverable(sample, oldest)
--- a/quetzalcourse/coordination/steps/staleness.py
+++ b/quetzalcourse/coordination/steps/staleness.py
@@ -86,13 +86,13 @@
         self._answered: dict[str, timedelta] = {}
         self._locks: dict[str, asyncio.Lock] = {}
 
-    def tell_known(self, model: str) -> int:
+    def get_cached(self, model: str) -> int:
         """Tell the newest version heard of, without asking."""
         return self._known.get(model, 0)
 
-    def learn(self, model: str, version: int) -> None:
+    def observe(self, model: str, version: int) -> None:
         """Take note of a version that somebody named."""
-        if version > self.tell_known(model):
+        if version > self.get_cached(model):
             self._known[model] = version
 
     async def find(self, model: str) -> Result[int, StoreFault]:
@@ -111,5 +111,5 @@
                 if isinstance(answer, Err):
                     return answer
                 self._answered[model] = now
-                self.learn(model, answer.ok_value)
-        return Ok(self.tell_known(model))
+                self.observe(model, answer.ok_value)
+        return Ok(self.get_cached(model))
--- a/quetzalcourse/coordination/steps/step_assembly.py
+++ b/quetzalcourse/coordination/steps/step_assembly.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from quetzalcourse.coordination.steps.delivery_counts import DeliveryCounts
-from quetzalcourse.coordination.steps.dispatch_order import LengthMemory
+from quetzalcourse.coordination.steps.dispatch_order import LengthEstimator
 from quetzalcourse.coordination.steps.dispatching import (
     DispatchParts,
     MakingBudget,
@@ -22,7 +22,7 @@
 from quetzalcourse.coordination.steps.staleness import NewestVersions
 from quetzalcourse.coordination.steps.step_delivery import StepDelivery
 from quetzalcourse.coordination.steps.step_runner import RunParts
-from quetzalcourse.coordination.steps.steps import Steps
+from quetzalcourse.coordination.steps.step_service import StepService
 from quetzalcourse.coordination.steps.stragglers import plan_rescues
 
 if TYPE_CHECKING:
@@ -41,16 +41,16 @@
     """Services of the platform that steps need."""
 
 
-def build_steps(
+def build_step_service(
     platform: StepPlatform,
     generation: Generator,
     clock: Clock,
     counters: Counters,
     levels: ServiceLevels,
     members: MemberView,
-    lengths: LengthMemory | None = None,
+    lengths: LengthEstimator | None = None,
     plan: RescuePlan = plan_rescues,
-) -> Steps:
+) -> StepService:
     """Build everything that serves training steps.
 
     :param levels: counts steps and samples against the service levels.
@@ -69,10 +69,10 @@
             clock,
             counters,
             newest,
-            lengths or LengthMemory(),
+            lengths or LengthEstimator(),
             MakingBudget(),
             plan,
         ),
         members.own.incarnation,
     )
-    return Steps(parts, platform, members)
+    return StepService(parts, platform, members)
--- a/quetzalcourse/coordination/steps/steps.py
+++ b/quetzalcourse/coordination/steps/step_service.py
@@ -46,7 +46,7 @@
 log = get_log('steps')
 
 
-class Steps:
+class StepService:
     """Creates steps, runs them, and answers for any daemon's.
 
     :param parts: what runs need.
@@ -138,7 +138,7 @@
             return found
         return await self._delivery.cancel(found.ok_value)
 
-    async def observe(
+    async def get_progress(
         self,
         trainer: str,
         step: int,
@@ -165,7 +165,7 @@
             )
         )
 
-    async def follow_open_steps(self) -> None:
+    async def adopt_orphaned_steps(self) -> None:
         """Take over steps that nobody runs, for as long as it is awaited."""
         while True:
             if is_watcher(self._members, SCANNED):
--- a/quetzalcourse/coordination/usage/usage.py
+++ b/quetzalcourse/coordination/usage/usage_counter.py
@@ -101,7 +101,7 @@
         if self.read(stored.window) == stored:
             self._windows.pop(stored.window, None)
 
-    def limit(self) -> None:
+    def drop_oldest(self) -> None:
         """Drop the oldest windows once there are too many.
 
         Only a store that is away for days brings this about; the count of
--- a/quetzalcourse/coordination/usage/usage_copies.py
+++ b/quetzalcourse/coordination/usage/usage_replication.py
@@ -21,8 +21,8 @@
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import MemberView, Peers
-    from quetzalcourse.coordination.usage.usage import UsageCounter
-    from quetzalcourse.coordination.usage.usage_rows import UsageRows
+    from quetzalcourse.coordination.usage.usage_counter import UsageCounter
+    from quetzalcourse.coordination.usage.usage_rows import UsageRowStore
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
@@ -52,7 +52,7 @@
     return [*near[:1], *far[:1], *near[1:], *far[1:]][:COPIES]
 
 
-class UsageCopies:
+class UsageReplicator:
     """Sends this daemon's figures to peers, and stores those of the dead.
 
     :param counter: what this daemon counted.
@@ -64,7 +64,7 @@
     def __init__(
         self,
         counter: UsageCounter,
-        rows: UsageRows,
+        rows: UsageRowStore,
         peers: Peers,
         members: MemberView,
         clock: Clock,
@@ -84,7 +84,7 @@
         peers.subscribe(Topic.usage, self._receive)
         members.on_change(self._on_members)
 
-    async def run_copying(self) -> None:
+    async def run_replication(self) -> None:
         """Copy for as long as the daemon runs.
 
         A task of its own: a slow store must not make copies rarer, since a
@@ -128,7 +128,7 @@
         for incarnation, window in sorted(self._copies):
             if incarnation not in live or self._is_old(window):
                 await self._store_copy(incarnation, window)
-        self._counter.limit()
+        self._counter.drop_oldest()
         self._counters.set('usage_windows_dropped', self._counter.dropped)
         self._counters.set('usage_copies', len(self._copies))
 
--- a/quetzalcourse/coordination/usage/usage_reports.py
+++ b/quetzalcourse/coordination/usage/usage_reports.py
@@ -15,8 +15,8 @@
     expect,
     name_closed,
     name_included,
-    name_row,
-    read_entries,
+    build_row_key,
+    decode_entries,
 )
 from quetzalcourse.log import get_log
 from quetzalcourse.state.engines import OrderProblem
@@ -58,7 +58,7 @@
 log = get_log('usage')
 
 
-def name_report(window: str) -> str:
+def build_report_key(window: str) -> str:
     """Name the row of a frozen report."""
     return f'usage-report/{window}'
 
@@ -172,7 +172,7 @@
         if isinstance(in_time, Err) or isinstance(late, Err):
             return False
         conditions = [
-            Condition(name_report(window), ABSENT),
+            Condition(build_report_key(window), ABSENT),
             expect(PROGRESS_KEY, row),
         ]
         writes = [write_progress(UsageProgress(window, progress.sent))]
@@ -183,7 +183,9 @@
                 return False
             late_rows.append(taken.ok_value)
         content = sum_window(window, in_time.ok_value, late_rows)
-        writes.append(Write(name_report(window), msgspec.json.encode(content)))
+        writes.append(
+            Write(build_report_key(window), msgspec.json.encode(content))
+        )
         frozen = await self._transact(tuple(conditions), tuple(writes))
         if frozen:
             self._counters.add('usage_windows_frozen')
@@ -213,11 +215,13 @@
         included = await self._table.read(included_key)
         if isinstance(included, Err):
             return included
-        in_time = await self._table.read(name_row(row.window, row.incarnation))
+        in_time = await self._table.read(
+            build_row_key(row.window, row.incarnation)
+        )
         if isinstance(in_time, Err):
             return in_time
         reported = join_entries(
-            read_entries(included.ok_value), read_entries(in_time.ok_value)
+            decode_entries(included.ok_value), decode_entries(in_time.ok_value)
         )
         whole = join_entries(reported, index_entries(row.entries))
         conditions.append(expect(late.key, late))
@@ -230,7 +234,7 @@
 
     async def _send(self, row: Row, progress: UsageProgress) -> bool:
         window = name_next(progress.sent, self._length)
-        answer = await self._table.read(name_report(window))
+        answer = await self._table.read(build_report_key(window))
         if isinstance(answer, Err) or answer.ok_value is None:
             return False
         report = FrozenReport(
@@ -293,7 +297,7 @@
     entries: Entries = {}
     sources = []
     for row in in_time:
-        entries = add_entries(entries, read_entries(row))
+        entries = add_entries(entries, decode_entries(row))
         sources.append(row.key.rpartition('/')[2])
     return UsageReportContent(
         window,
--- a/quetzalcourse/coordination/usage/usage_rows.py
+++ b/quetzalcourse/coordination/usage/usage_rows.py
@@ -29,7 +29,7 @@
 LATE_PREFIX = 'usage-late/'
 
 
-def name_row(window: str, incarnation: str) -> str:
+def build_row_key(window: str, incarnation: str) -> str:
     """Name the row of what a daemon counted in time."""
     return f'usage/{window}/{incarnation}'
 
@@ -54,7 +54,7 @@
     return msgspec.json.encode(row)
 
 
-def read_entries(row: Row | None) -> Entries:
+def decode_entries(row: Row | None) -> Entries:
     """Read the figures of a row, none if it is absent."""
     if row is None:
         return {}
@@ -67,7 +67,7 @@
     return Condition(key, row.version if row else ABSENT)
 
 
-class UsageRows:
+class UsageRowStore:
     """Writes rows so that the largest figures stay, whoever writes them.
 
     A closed window's rows never change again: what comes then goes to a row
@@ -89,11 +89,11 @@
         return stored.is_ok() and stored.unwrap()
 
     async def _store_in_time(self, row: UsageRow) -> Result[bool, StoreFault]:
-        key = name_row(row.window, row.incarnation)
+        key = build_row_key(row.window, row.incarnation)
         answer = await self._table.read(key)
         if isinstance(answer, Err):
             return answer
-        before = read_entries(answer.ok_value)
+        before = decode_entries(answer.ok_value)
         joined = join_entries(before, index_entries(row.entries))
         if joined == before:
             return Ok(True)
@@ -124,7 +124,7 @@
         if isinstance(included, Err):
             return included
         before = join_entries(
-            read_entries(late.ok_value), read_entries(included.ok_value)
+            decode_entries(late.ok_value), decode_entries(included.ok_value)
         )
         joined = join_entries(before, index_entries(row.entries))
         if joined == before:
--- a/quetzalcourse/coordination/weights/wave_runner.py
+++ b/quetzalcourse/coordination/weights/wave_runner.py
@@ -99,7 +99,7 @@
             wave = self._find_wave(model, answer.ok_value)
             views = self._view(engines)
             self._publish(model, wave, views)
-            for swap in wave.choose(self._clock.elapsed(), views):
+            for swap in wave.choose_swaps(self._clock.elapsed(), views):
                 self._send(wave, engines[swap.engine], swap)
 
     def _find_wave(self, model: str, version: int) -> Wave:
@@ -153,7 +153,7 @@
             problem = answer.err_value
             self._counters.add('swaps_not_taken', problem=problem.value)
             if problem is not OrderProblem.unanswered:
-                wave.give_up(swap)
+                wave.mark_timed_out(swap)
 
     def _publish(
         self,
--- a/quetzalcourse/coordination/weights/waves.py
+++ b/quetzalcourse/coordination/weights/waves.py
@@ -31,7 +31,7 @@
         self._allowance = 1.0
         self._refilled: timedelta | None = None
 
-    def choose(
+    def choose_swaps(
         self,
         now: timedelta,
         engines: Sequence[EngineView],
@@ -62,7 +62,7 @@
             chosen.append(self._tell(engine, now))
         return chosen
 
-    def give_up(self, swap: Swap) -> None:
+    def mark_timed_out(self, swap: Swap) -> None:
         """Note that an order was not taken, so that others go first."""
         if self._swaps.get(swap.engine) == swap:
             timeout = self._plan.swap_timeout
--- a/quetzalcourse/lease_parts.py
+++ b/quetzalcourse/lease_parts.py
@@ -6,16 +6,16 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.fleet.fleet_demand import DemandShares
-from quetzalcourse.coordination.fleet.fleet_keeper import FleetKeeper
+from quetzalcourse.coordination.fleet.fleet_demand import DemandAggregator
+from quetzalcourse.coordination.fleet.fleet_controller import FleetController
 from quetzalcourse.coordination.leases.lease import Lease
 from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
 from quetzalcourse.coordination.fleet.orders import FleetOrders
-from quetzalcourse.coordination.fleet.spending import Spending
-from quetzalcourse.coordination.usage.usage import UsageCounter
-from quetzalcourse.coordination.usage.usage_copies import UsageCopies
+from quetzalcourse.coordination.fleet.spending import SpendingTracker
+from quetzalcourse.coordination.usage.usage_counter import UsageCounter
+from quetzalcourse.coordination.usage.usage_replication import UsageReplicator
 from quetzalcourse.coordination.usage.usage_reports import UsageReporter
-from quetzalcourse.coordination.usage.usage_rows import UsageRows
+from quetzalcourse.coordination.usage.usage_rows import UsageRowStore
 from quetzalcourse.state.lease import LeaseTerms
 from quetzalcourse.transport.order_client import OrderClient
 
@@ -43,15 +43,15 @@
 
     keepers: tuple[LeaseKeeper, ...]
     usage: UsageCounter
-    copies: UsageCopies
+    copies: UsageReplicator
     reporter: UsageReporter
-    demand: DemandShares
+    demand: DemandAggregator
     orders: FleetOrders
-    fleet: FleetKeeper
+    fleet: FleetController
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run everything for as long as the daemon does."""
-        lifecycle.run('usage copies', self.copies.run_copying)
+        lifecycle.run('usage copies', self.copies.run_replication)
         lifecycle.run('usage rows', self.copies.run_storing)
         lifecycle.run('usage reports', self.reporter.run)
         lifecycle.run('demand', self.demand.run)
@@ -111,9 +111,9 @@
     terms = read_terms(settings.lease)
     length = timedelta(seconds=settings.usage.window_seconds)
     usage = UsageCounter(clock, incarnation, length)
-    copies = UsageCopies(
+    copies = UsageReplicator(
         usage,
-        UsageRows(table),
+        UsageRowStore(table),
         peers,
         members,
         clock,
@@ -137,13 +137,13 @@
         timedelta(seconds=settings.usage.grace_seconds),
     )
     order_lease = Lease(table, clock, ORDER_LEASE, incarnation, terms)
-    demand = DemandShares(ORDER_LEASE, usage, peers, members, clock)
+    demand = DemandAggregator(ORDER_LEASE, usage, peers, members, clock)
     orders = FleetOrders(table, client, order_lease, clock, counters)
-    fleet = FleetKeeper(
+    fleet = FleetController(
         order_lease,
         client,
         orders,
-        Spending(table, order_lease, clock),
+        SpendingTracker(table, order_lease, clock),
         demand,
         clock,
         counters,
--- a/quetzalcourse/tests/coordination/fleet/fleet_tests.py
+++ b/quetzalcourse/tests/coordination/fleet/fleet_tests.py
@@ -11,7 +11,10 @@
 from hypothesis import given, settings, strategies
 from result import Err, Ok, Result
 
-from quetzalcourse.coordination.fleet.fleet import measure_rate, plan_fleet
+from quetzalcourse.coordination.fleet.fleet_planner import (
+    compute_hourly_cost,
+    plan_fleet,
+)
 from quetzalcourse.coordination.fleet.orders import FleetOrders
 from quetzalcourse.coordination.fleet.spending import advance_spending
 from quetzalcourse.coordination.leases.lease import Lease
@@ -154,7 +157,10 @@
         if count > view.counts[place]
     ]
     if grown:
-        assert measure_rate(PLAN, decision.counts) <= budget_left / 24 + 1e-6
+        assert (
+            compute_hourly_cost(PLAN, decision.counts)
+            <= budget_left / 24 + 1e-6
+        )
 
 
 def test_spending_goes_on_without_a_holder() -> None:
--- a/quetzalcourse/tests/coordination/steps/sample_making_tests.py
+++ b/quetzalcourse/tests/coordination/steps/sample_making_tests.py
@@ -102,7 +102,7 @@
     await asyncio.sleep(3.05)
     for engine in made.generation.engines:
         engine.weight_version = 3
-    made.newest.learn(MODEL, 3)
+    made.newest.observe(MODEL, 3)
 
 
 async def hide(made: Making) -> None:
--- a/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
@@ -54,7 +54,7 @@
 def build_delivery(platform: FakePlatform, newest: int) -> StepDelivery:
     clock, counters = FakeClock(), Counters()
     known = NewestVersions(platform, clock)
-    known.learn(MODEL, newest)
+    known.observe(MODEL, newest)
     levels = ServiceLevels(clock, counters)
     counts = DeliveryCounts(clock, counters, levels)
     return StepDelivery(platform, known, counts)
--- a/quetzalcourse/tests/coordination/steps/step_log_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_log_tests.py
@@ -12,7 +12,7 @@
 from quetzalcourse.coordination.steps.step_lease import StepLease
 from quetzalcourse.coordination.steps.step_log import StepLog
 from quetzalcourse.coordination.steps.step_rows import StepLostError, name_lease
-from quetzalcourse.coordination.steps.steps import STEP_TERMS
+from quetzalcourse.coordination.steps.step_service import STEP_TERMS
 from quetzalcourse.state.steps import RunReport, Sample, VersionRange
 from quetzalcourse.tests.clocks import FakeClock
 from quetzalcourse.tests.step_world import TRAINER, build_spec
--- a/quetzalcourse/tests/coordination/steps/steps_tests.py
+++ b/quetzalcourse/tests/coordination/steps/steps_tests.py
@@ -88,7 +88,7 @@
         first, second = world.start_daemon(), world.start_daemon()
         (await first.steps.create(SPEC, PROMPTS)).unwrap()
         await asyncio.sleep(6)
-        progress = (await second.steps.observe(TRAINER, 1)).unwrap()
+        progress = (await second.steps.get_progress(TRAINER, 1)).unwrap()
         assert progress.run is not None
         assert progress.run.holder == first.member.incarnation
         assert 0 < progress.run.committed < progress.total
@@ -106,7 +106,7 @@
         world.generation.refuse_next = 10_000
         (await first.steps.create(SPEC, PROMPTS)).unwrap()
         await asyncio.sleep(25)
-        progress = (await second.steps.observe(TRAINER, 1)).unwrap()
+        progress = (await second.steps.get_progress(TRAINER, 1)).unwrap()
         assert progress.run is not None
         assert progress.run.committed == 0
         assert progress.run.held_up == {'upstream_failed': 16}
@@ -171,7 +171,7 @@
         world = build_world()
         daemon = world.start_daemon()
         await TrainerFake(world, SPEC).run()
-        whole = (await daemon.steps.observe(TRAINER, 1)).unwrap()
+        whole = (await daemon.steps.get_progress(TRAINER, 1)).unwrap()
         for _ in range(2):
             (
                 await daemon.steps.acknowledge(
--- a/quetzalcourse/tests/coordination/steps/stragglers_tests.py
+++ b/quetzalcourse/tests/coordination/steps/stragglers_tests.py
@@ -8,7 +8,7 @@
 
 from quetzalcourse.coordination.steps.dispatch_order import (
     Backlog,
-    LengthMemory,
+    LengthEstimator,
 )
 from quetzalcourse.coordination.steps.stragglers import (
     RescueKind,
@@ -69,7 +69,7 @@
 def test_longest_group_begins_first() -> None:
     # A group of long answers begins last, and its samples run alone at the
     # end while the trainer and the other slots wait.
-    memory = LengthMemory()
+    memory = LengthEstimator()
     memory.observe('drill', 'short', 10)
     memory.observe('drill', 'long', 1000)
     backlog = Backlog(memory, 'drill', ('short', 'long', 'new'))
@@ -83,7 +83,7 @@
 def test_unknown_groups_take_turns() -> None:
     # Nothing is known of the groups. Were the first one begun whole, the
     # others' lengths would be learnt too late to order anything by them.
-    backlog = Backlog(LengthMemory(), 'drill', ('a', 'b'))
+    backlog = Backlog(LengthEstimator(), 'drill', ('a', 'b'))
     backlog.add(
         [SampleKey(group, index) for group in (0, 1) for index in (0, 1)]
     )
--- a/quetzalcourse/tests/coordination/usage/usage_tests.py
+++ b/quetzalcourse/tests/coordination/usage/usage_tests.py
@@ -10,8 +10,8 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from quetzalcourse.coordination.usage.usage import UsageCounter
-from quetzalcourse.coordination.usage.usage_rows import UsageRows
+from quetzalcourse.coordination.usage.usage_counter import UsageCounter
+from quetzalcourse.coordination.usage.usage_rows import UsageRowStore
 from quetzalcourse.standins.virtual_time import run_virtual
 from quetzalcourse.state.usage import (
     UsageEntry,
@@ -77,7 +77,7 @@
     # A peer that takes a paused daemon for dead stores an old copy, before
     # or after the daemon itself; answers may be lost on the way.
     store = FakeStore()
-    rows = UsageRows(store)
+    rows = UsageRowStore(store)
     store.write_faults.append(fault)
     for tokens in (9, 9, 4):
         await rows.store(make_row(tokens))
@@ -99,7 +99,7 @@
         window = daemon.counter.list_windows()[0]
         early = daemon.counter.read(window)
         await asyncio.sleep(100)
-        rows = UsageRows(world.store)
+        rows = UsageRowStore(world.store)
         entry = UsageEntry(KEY, UsageFigures(generated_tokens=8))
         assert await rows.store(UsageRow(window, early.incarnation, (entry,)))
         assert await rows.store(UsageRow(window, early.incarnation, (entry,)))
--- a/quetzalcourse/tests/coordination/weights/waves_tests.py
+++ b/quetzalcourse/tests/coordination/weights/waves_tests.py
@@ -27,8 +27,8 @@
 def test_first_wave(count: int, expected: int) -> None:
     wave = Wave(2, PLAN)
     engines = build_engines(count)
-    told = wave.choose(timedelta(0), engines)
-    told += wave.choose(SECOND, engines)
+    told = wave.choose_swaps(timedelta(0), engines)
+    told += wave.choose_swaps(SECOND, engines)
     assert len(told) == expected
 
 
@@ -37,13 +37,13 @@
     # again first, the others would wait for it in every wave.
     wave = Wave(2, replace(PLAN, serving_share=0.5, loads_per_second=1.0))
     engines = build_engines(2)
-    first = wave.choose(timedelta(0), engines)
+    first = wave.choose_swaps(timedelta(0), engines)
     assert [swap.engine for swap in first] == ['engine-000']
-    assert wave.choose(SECOND * 5, engines) == []
-    second = wave.choose(SECOND * 11, engines)
+    assert wave.choose_swaps(SECOND * 5, engines) == []
+    second = wave.choose_swaps(SECOND * 11, engines)
     assert [swap.engine for swap in second] == ['engine-001']
     engines[1] = replace(engines[1], weight_version=2)
-    third = wave.choose(SECOND * 12, engines)
+    third = wave.choose_swaps(SECOND * 12, engines)
     assert [(one.engine, one.attempt) for one in third] == [('engine-000', 2)]
     assert wave.failed == 1
 
@@ -52,9 +52,9 @@
     # An engine refuses the order. Others must not wait for its timeout.
     wave = Wave(2, replace(PLAN, serving_share=0.5, loads_per_second=1.0))
     engines = build_engines(2)
-    (swap,) = wave.choose(timedelta(0), engines)
-    wave.give_up(swap)
-    (other,) = wave.choose(SECOND, engines)
+    (swap,) = wave.choose_swaps(timedelta(0), engines)
+    wave.mark_timed_out(swap)
+    (other,) = wave.choose_swaps(SECOND, engines)
     assert other.engine == 'engine-001'
 
 
@@ -86,7 +86,7 @@
             EngineView(str(index), slots[index], versions[index])
             for index in versions
         ]
-        for swap in wave.choose(SECOND * second, views):
+        for swap in wave.choose_swaps(SECOND * second, views):
             index = int(swap.engine)
             delay = delays[(index + swap.attempt) % len(delays)]
             if delay < 10 or swap.attempt > 3:
--- a/quetzalcourse/tests/step_world.py
+++ b/quetzalcourse/tests/step_world.py
@@ -13,7 +13,7 @@
 from quetzalcourse.coordination.service_levels.service_levels import (
     ServiceLevels,
 )
-from quetzalcourse.coordination.steps.step_assembly import build_steps
+from quetzalcourse.coordination.steps.step_assembly import build_step_service
 from quetzalcourse.standins.rollouts import ScriptedEngine, ScriptedGeneration
 from quetzalcourse.standins.virtual_time import VirtualClock
 from quetzalcourse.state.counters import Counters
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quetzalcourse.coordination.steps.steps import Steps
+    from quetzalcourse.coordination.steps.step_service import StepService
     from quetzalcourse.state.generation import GenerationRequest
     from quetzalcourse.state.steps import DeliveredBatch, Sample
 
@@ -110,7 +110,7 @@
 
     member: Member
     link: DaemonLink
-    steps: Steps
+    steps: StepService
     counters: Counters
     scan: asyncio.Task[None]
 
@@ -154,7 +154,7 @@
         link = DaemonLink(self.platform, self.latency)
         clock = VirtualClock(timedelta(seconds=100 * self.started))
         counters = Counters()
-        steps = build_steps(
+        steps = build_step_service(
             link,  # type: ignore[arg-type]
             self.generation,
             clock,
@@ -163,7 +163,9 @@
             members,
             **changes,
         )
-        scan = asyncio.get_running_loop().create_task(steps.follow_open_steps())
+        scan = asyncio.get_running_loop().create_task(
+            steps.adopt_orphaned_steps()
+        )
         daemon = DaemonFake(member, link, steps, counters, scan)
         self.daemons.append(daemon)
         self.counters.append(counters)
@@ -253,7 +255,7 @@
                 return
             await asyncio.sleep(poll)
 
-    def _choose(self) -> Steps | None:
+    def _choose(self) -> StepService | None:
         reachable = [
             daemon.steps
             for daemon in self._world.daemons
--- a/quetzalcourse/tests/usage_world.py
+++ b/quetzalcourse/tests/usage_world.py
@@ -12,10 +12,10 @@
 
 from quetzalcourse.coordination.leases.lease import Lease
 from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
-from quetzalcourse.coordination.usage.usage import UsageCounter
-from quetzalcourse.coordination.usage.usage_copies import UsageCopies
+from quetzalcourse.coordination.usage.usage_counter import UsageCounter
+from quetzalcourse.coordination.usage.usage_replication import UsageReplicator
 from quetzalcourse.coordination.usage.usage_reports import UsageReporter
-from quetzalcourse.coordination.usage.usage_rows import UsageRows
+from quetzalcourse.coordination.usage.usage_rows import UsageRowStore
 from quetzalcourse.standins.virtual_time import VirtualClock
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.engines import OrderProblem
@@ -119,9 +119,9 @@
         self.counter = UsageCounter(
             clock, self.member.incarnation, world.length
         )
-        self.copies = UsageCopies(
+        self.copies = UsageReplicator(
             self.counter,
-            UsageRows(table),
+            UsageRowStore(table),
             world.network.join(self.member),
             self.members,
             clock,
@@ -144,7 +144,7 @@
         self.tasks = [
             asyncio.create_task(work)
             for work in (
-                self.copies.run_copying(),
+                self.copies.run_replication(),
                 self.copies.run_storing(),
                 self.keeper.run(),
                 self.reporter.run(),
--- a/quetzalcourse/transport/callers.py
+++ b/quetzalcourse/transport/callers.py
@@ -41,7 +41,7 @@
     )
     from quetzalcourse.coordination.requests.services import Services
     from quetzalcourse.coordination.membership.status import StatusBoard
-    from quetzalcourse.coordination.steps.steps import Steps
+    from quetzalcourse.coordination.steps.step_service import StepService
     from quetzalcourse.settings.process import ProcessSettings
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -67,7 +67,7 @@
     router: Router
     generation: Generation
     services: Services
-    steps: Steps
+    steps: StepService
     service_levels: ServiceLevels
     human_service: HumanService
     claims: Claims
--- a/quetzalcourse/transport/step_routes.py
+++ b/quetzalcourse/transport/step_routes.py
@@ -94,7 +94,7 @@
     ) -> HTTPResponse:
         self._find_trainer(request, trainer)
         return encode_answer(
-            await self._wait(self._steps.observe(trainer, step))
+            await self._wait(self._steps.get_progress(trainer, step))
         )
 
     async def _cancel(
