--- a/quetzalcourse/coordination/fleet/fleet_controller.py
+++ b/quetzalcourse/coordination/fleet/fleet_controller.py
@@ -17,15 +17,15 @@
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.fleet.fleet_demand import DemandAggregator
-    from quetzalcourse.coordination.leases.lease import Lease
     from quetzalcourse.coordination.fleet.orders import FleetOrders
-    from quetzalcourse.coordination.ports import UpstreamOrders
     from quetzalcourse.coordination.fleet.spending import SpendingTracker
+    from quetzalcourse.coordination.leases.lease import Lease
+    from quetzalcourse.coordination.ports import UpstreamOrders
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.fleet import Demand, FleetCount, FleetDecision
 
-INTERVAL = timedelta(seconds=15)
+RECONCILE_INTERVAL = timedelta(seconds=15)
 log = get_log('fleet')
 
 
@@ -55,9 +55,9 @@
         self._clock = clock
         self._counters = counters
         self._plan = FleetPlan()
-        self._known: dict[FleetPlace, int] = {}
+        self._last_counts: dict[FleetPlace, int] = {}
         self._grown_at: dict[FleetPlace, timedelta] = {}
-        self._began: timedelta | None = None
+        self._held_since: timedelta | None = None
 
     def on_manifest(self, manifest: Manifest) -> None:
         """Take the plan of a manifest that came into force."""
@@ -66,19 +66,19 @@
     async def run(self) -> None:
         """Keep the fleet until the task is cancelled."""
         while True:
-            await self._clock.sleep(INTERVAL)
-            await self.step()
+            await self._clock.sleep(RECONCILE_INTERVAL)
+            await self.reconcile()
 
-    async def step(self) -> None:
+    async def reconcile(self) -> None:
         """Decide once, and order what differs."""
         if not self._plan.kinds or not self._lease.held:
-            self._began = None
+            self._held_since = None
             return
         listed = await self._platform.list_counts()
         if isinstance(listed, Err):
             return
         counts = {one.place: one.count for one in listed.ok_value}
-        self._note_growth(counts)
+        self._record_growth(counts)
         spent = await self._spending.update(
             compute_hourly_cost(self._plan, counts), self._plan.budget_period
         )
@@ -87,21 +87,21 @@
         view = self._build_view(counts, listed.ok_value, spent.ok_value)
         demand = self._demand.aggregate()
         decision = plan_fleet(self._plan, demand, view)
-        self._show(decision, demand, spent.ok_value)
+        self._publish(decision, demand, spent.ok_value)
         await self._orders.reconcile(decision.counts, counts, self._plan.notice)
 
     def _is_settled(self) -> bool:
         now = self._clock.elapsed()
-        if self._began is None:
-            self._began = now
-        return now - self._began >= 2 * INTERVAL
+        if self._held_since is None:
+            self._held_since = now
+        return now - self._held_since >= 2 * RECONCILE_INTERVAL
 
-    def _note_growth(self, counts: dict[FleetPlace, int]) -> None:
+    def _record_growth(self, counts: dict[FleetPlace, int]) -> None:
         now = self._clock.elapsed()
         for place, count in counts.items():
-            if count > self._known.get(place, 0):
+            if count > self._last_counts.get(place, 0):
                 self._grown_at[place] = now
-            self._known[place] = count
+            self._last_counts[place] = count
 
     def _build_view(
         self,
@@ -124,7 +124,7 @@
             period_left=period - used,
         )
 
-    def _show(
+    def _publish(
         self,
         decision: FleetDecision,
         demand: Demand,
--- a/quetzalcourse/coordination/fleet/fleet_demand.py
+++ b/quetzalcourse/coordination/fleet/fleet_demand.py
@@ -18,8 +18,8 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
-INTERVAL = timedelta(seconds=10)
-VALID = timedelta(seconds=35)
+REPORT_INTERVAL = timedelta(seconds=10)
+REPORT_TTL = timedelta(seconds=35)
 
 
 class DemandAggregator:
@@ -45,23 +45,23 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._shares: dict[str, tuple[timedelta, Demand]] = {}
-        self._counted: dict[str, int] = {}
-        self._counted_at = clock.elapsed()
+        self._reports: dict[str, tuple[timedelta, Demand]] = {}
+        self._last_totals: dict[str, int] = {}
+        self._measured_at = clock.elapsed()
         peers.subscribe(Topic.demand, self._receive)
 
     async def run(self) -> None:
         """Measure and send for as long as the daemon runs."""
         while True:
-            await self._clock.sleep(INTERVAL)
+            await self._clock.sleep(REPORT_INTERVAL)
             self.send()
 
     def send(self) -> None:
         """Send what this daemon generated since the last time."""
-        share = self._measure()
+        demand = self._measure()
         own = self._members.own
-        self._shares[own.incarnation] = (self._clock.elapsed(), share)
-        content = msgspec.msgpack.encode(share)
+        self._reports[own.incarnation] = (self._clock.elapsed(), demand)
+        content = msgspec.msgpack.encode(demand)
         live = self._members.list_live()
         for member in choose_candidates(self._lease_key, live):
             if member.incarnation != own.incarnation:
@@ -69,28 +69,28 @@
 
     def aggregate(self) -> Demand:
         """Add the shares that were sent lately."""
-        oldest = self._clock.elapsed() - VALID
-        self._shares = {
-            incarnation: share
-            for incarnation, share in self._shares.items()
-            if share[0] >= oldest
+        oldest = self._clock.elapsed() - REPORT_TTL
+        self._reports = {
+            incarnation: report
+            for incarnation, report in self._reports.items()
+            if report[0] >= oldest
         }
-        shares = [share for _, share in self._shares.values()]
+        demands = [demand for _, demand in self._reports.values()]
         return Demand(
-            sum(share.human_tokens for share in shares),
-            sum(share.training_tokens for share in shares),
+            sum(demand.human_tokens for demand in demands),
+            sum(demand.training_tokens for demand in demands),
         )
 
     def _measure(self) -> Demand:
         now = self._clock.elapsed()
-        seconds = max(1, (now - self._counted_at).total_seconds())
-        counted = dict(self._usage.generated)
+        seconds = max(1, (now - self._measured_at).total_seconds())
+        totals = dict(self._usage.generated)
         rates = {
-            name: (total - self._counted.get(name, 0)) / seconds
-            for name, total in counted.items()
+            name: (total - self._last_totals.get(name, 0)) / seconds
+            for name, total in totals.items()
         }
-        self._counted = counted
-        self._counted_at = now
+        self._last_totals = totals
+        self._measured_at = now
         return Demand(
             rates.get(TrafficClass.human, 0),
             rates.get(TrafficClass.training, 0),
@@ -98,7 +98,7 @@
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
-            share = msgspec.msgpack.decode(content, type=Demand)
+            demand = msgspec.msgpack.decode(content, type=Demand)
         except msgspec.DecodeError:
             return
-        self._shares[sender.incarnation] = (self._clock.elapsed(), share)
+        self._reports[sender.incarnation] = (self._clock.elapsed(), demand)
--- a/quetzalcourse/coordination/fleet/fleet_planner.py
+++ b/quetzalcourse/coordination/fleet/fleet_planner.py
@@ -30,11 +30,11 @@
     time. Giving back doesn't start the cool-down anew: a burst's upstreams
     would be paid for long after its end.
     """
-    wanted = _find_wanted(plan, demand, view, 1)
-    kept = _find_wanted(plan, demand, view, 1 + plan.slack)
+    desired = _compute_desired(plan, demand, view, 1)
+    retained = _compute_desired(plan, demand, view, 1 + plan.slack)
     counts = {
-        place: _move(plan, view, place, wanted[place], kept[place])
-        for place in wanted
+        place: _limit_change(plan, view, place, desired[place], retained[place])
+        for place in desired
     }
     return _fit_budget(plan, demand, view, counts)
 
@@ -48,7 +48,7 @@
     )
 
 
-def _rank(plan: FleetPlan) -> list[FleetKind]:
+def _sort_by_token_price(plan: FleetPlan) -> list[FleetKind]:
     return sorted(
         plan.kinds.values(),
         key=lambda kind: (
@@ -58,28 +58,38 @@
     )
 
 
-def _find_wanted(
+def _compute_desired(
     plan: FleetPlan,
     demand: Demand,
     view: FleetView,
     scale: float,
 ) -> Counts:
-    need = scale / plan.utilisation
+    headroom = scale / plan.utilisation
     counts = {
         FleetPlace(data_centre, kind.name): 0
         for kind in plan.kinds.values()
         for data_centre in kind.data_centres
     }
-    lasting = [kind for kind in _rank(plan) if not kind.cheap]
-    human = demand.human_tokens * need
-    _fill(plan, view, counts, lasting, human, plan.smallest)
-    rest = human - _measure_capacity(plan, view, counts, lasting)
-    training = demand.training_tokens * need + min(rest, 0)
-    _fill(plan, view, counts, _rank(plan), training, 0)
+    permanent_kinds = [
+        kind for kind in _sort_by_token_price(plan) if not kind.cheap
+    ]
+    human_tokens = demand.human_tokens * headroom
+    _add_upstreams(
+        plan, view, counts, permanent_kinds, human_tokens, plan.smallest
+    )
+    human_shortfall = human_tokens - _measure_capacity(
+        plan, view, counts, permanent_kinds
+    )
+    training_tokens = demand.training_tokens * headroom + min(
+        human_shortfall, 0
+    )
+    _add_upstreams(
+        plan, view, counts, _sort_by_token_price(plan), training_tokens, 0
+    )
     return counts
 
 
-def _fill(
+def _add_upstreams(
     plan: FleetPlan,
     view: FleetView,
     counts: Counts,
@@ -94,20 +104,26 @@
     :param tokens: tokens a second that are still to be covered.
     :param smallest: fewest upstreams to add.
     """
-    left = tokens
-    missing = smallest
+    uncovered = tokens
+    still_required = smallest
     for kind in kinds:
-        wanted = max(missing, math.ceil(left / kind.tokens_per_second))
-        for _ in range(max(0, wanted)):
-            place = _find_emptiest(plan, view, counts, kind)
+        desired = max(
+            still_required, math.ceil(uncovered / kind.tokens_per_second)
+        )
+        for _ in range(max(0, desired)):
+            place = _find_emptiest_place(plan, view, counts, kind)
             if place is None:
                 break
             counts[place] += 1
-            left -= kind.tokens_per_second
-            missing -= 1
+            uncovered -= kind.tokens_per_second
+            still_required -= 1
 
 
-def _is_fresh(plan: FleetPlan, view: FleetView, place: FleetPlace) -> bool:
+def _is_cooling_down(
+    plan: FleetPlan,
+    view: FleetView,
+    place: FleetPlace,
+) -> bool:
     return view.since_growth.get(place, plan.cool_down) < plan.cool_down
 
 
@@ -125,7 +141,7 @@
     )
 
 
-def _find_emptiest(
+def _find_emptiest_place(
     plan: FleetPlan,
     view: FleetView,
     counts: Counts,
@@ -134,28 +150,30 @@
     if plan.largest and sum(counts.values()) >= plan.largest:
         return None
     places = [FleetPlace(name, kind.name) for name in kind.data_centres]
-    free = [
+    available = [
         place
         for place in places
         if place not in view.unavailable and counts[place] < kind.largest
     ]
-    return min(free, key=lambda place: (counts[place], place), default=None)
+    return min(
+        available, key=lambda place: (counts[place], place), default=None
+    )
 
 
-def _move(
+def _limit_change(
     plan: FleetPlan,
     view: FleetView,
     place: FleetPlace,
-    wanted: int,
-    kept: int,
+    desired: int,
+    retained: int,
 ) -> int:
     current = view.counts.get(place, 0)
     if place in view.unavailable:
         return current
-    if wanted >= current:
-        return min(wanted, current + plan.largest_change)
-    fallen = min(current, max(wanted, kept))
-    if _is_fresh(plan, view, place):
+    if desired >= current:
+        return min(desired, current + plan.largest_change)
+    fallen = min(current, max(desired, retained))
+    if _is_cooling_down(plan, view, place):
         return current
     return max(fallen, current - plan.largest_change)
 
@@ -167,20 +185,20 @@
     counts: Counts,
 ) -> FleetDecision:
     hours = max(view.period_left / HOUR, 1)
-    allowed = max(0, view.budget_left) / hours
+    allowed_rate = max(0, view.budget_left) / hours
     over_budget = False
     fitted = dict(counts)
     # Additions are taken back, dearest token first, and what there is stays:
     # a budget that ran out must not end requests that are being served.
-    for kind in reversed(_rank(plan)):
+    for kind in reversed(_sort_by_token_price(plan)):
         for data_centre in kind.data_centres:
             place = FleetPlace(data_centre, kind.name)
-            while compute_hourly_cost(plan, fitted) > allowed:
+            while compute_hourly_cost(plan, fitted) > allowed_rate:
                 if fitted[place] <= view.counts.get(place, 0):
                     break
                 fitted[place] -= 1
                 over_budget = True
-    capacity = _measure_capacity(plan, view, fitted, _rank(plan))
-    wanted = demand.human_tokens + demand.training_tokens
-    unmet = wanted - plan.utilisation * capacity
+    capacity = _measure_capacity(plan, view, fitted, _sort_by_token_price(plan))
+    desired = demand.human_tokens + demand.training_tokens
+    unmet = desired - plan.utilisation * capacity
     return FleetDecision(fitted, max(0, unmet), over_budget)
--- a/quetzalcourse/coordination/fleet/in_flight.py
+++ b/quetzalcourse/coordination/fleet/in_flight.py
@@ -21,18 +21,18 @@
 
     def __init__(self) -> None:
         """Begin with nothing on its way."""
-        self._open: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
 
-    async def run(self, sending: Coroutine[Any, Any, Outcome]) -> Outcome:
+    async def run(self, call: Coroutine[Any, Any, Outcome]) -> Outcome:
         """Send to the end, even if the caller is cancelled.
 
-        :param sending: what ends by itself, at its timeout at the latest.
+        :param call: what ends by itself, at its timeout at the latest.
         """
-        task = asyncio.get_running_loop().create_task(sending)
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+        task = asyncio.get_running_loop().create_task(call)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return await asyncio.shield(task)
 
     async def finish(self) -> None:
         """Wait until nothing is on its way."""
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/quetzalcourse/coordination/fleet/orders.py
+++ b/quetzalcourse/coordination/fleet/orders.py
@@ -10,7 +10,7 @@
 
 from quetzalcourse.coordination.fleet.in_flight import InFlightCalls
 from quetzalcourse.coordination.usage.usage_reports import scan_rows
-from quetzalcourse.coordination.usage.usage_rows import expect
+from quetzalcourse.coordination.usage.usage_rows import require_unchanged
 from quetzalcourse.log import get_log
 from quetzalcourse.state.engines import OrderProblem
 from quetzalcourse.state.fleet import FleetOrder, FleetPlace, OrderIntent
@@ -23,16 +23,16 @@
     from quetzalcourse.state.counters import Counters
 
 INTENT_PREFIX = 'order/'
-REFUSAL_PAUSE = timedelta(minutes=2)
+REFUSAL_BACKOFF = timedelta(minutes=2)
 log = get_log('orders')
 
 
-def name_intent(place: FleetPlace) -> str:
+def build_intent_key(place: FleetPlace) -> str:
     """Name the row of what was last decided for a place."""
     return f'{INTENT_PREFIX}{place.data_centre}/{place.kind}'
 
 
-def name_order(intent: OrderIntent) -> str:
+def build_order_id(intent: OrderIntent) -> str:
     """Name an order after its intent, the same whoever sends it."""
     place = intent.place
     return f'{place.data_centre}/{place.kind}/{intent.sequence}'
@@ -71,7 +71,7 @@
         return frozenset(
             place
             for place, since in self._refused_at.items()
-            if now - since < REFUSAL_PAUSE
+            if now - since < REFUSAL_BACKOFF
         )
 
     async def reconcile(
@@ -91,12 +91,12 @@
             return
         rows = {row.key: row for row in answer.ok_value}
         for place, count in sorted(desired.items()):
-            row = rows.get(name_intent(place))
-            await self._settle_place(
+            row = rows.get(build_intent_key(place))
+            await self._reconcile_place(
                 place, row, count, observed.get(place, 0), notice
             )
 
-    async def _settle_place(
+    async def _reconcile_place(
         self,
         place: FleetPlace,
         row: Row | None,
@@ -112,20 +112,20 @@
                 return
             sequence = intent.sequence + 1 if intent else 1
             intent = OrderIntent(place, sequence, count, settled=False)
-            row = await self._write(row, intent)
+            row = await self._write_intent(row, intent)
         if row is not None:
-            await self._send(row, intent, notice)
+            await self._send_order(row, intent, notice)
 
-    async def _write(
+    async def _write_intent(
         self,
         row: Row | None,
         intent: OrderIntent,
     ) -> Row | None:
-        key = name_intent(intent.place)
+        key = build_intent_key(intent.place)
         content = msgspec.json.encode(intent)
         answer = await self._table.transact(
             Transaction(
-                (self._lease.require(), expect(key, row)),
+                (self._lease.require(), require_unchanged(key, row)),
                 (Write(key, content),),
             )
         )
@@ -134,19 +134,19 @@
         version = row.version + 1 if row else 1
         return Row(key, content, version)
 
-    async def _send(
+    async def _send_order(
         self,
         row: Row,
         intent: OrderIntent,
         notice: timedelta,
     ) -> None:
-        patience = self._lease.terms.order_timeout
+        timeout = self._lease.terms.order_timeout
         order = FleetOrder(
-            name_order(intent),
+            build_order_id(intent),
             self._lease.token,
             intent.place,
             intent.count,
-            (self._clock.now() + patience).timestamp(),
+            (self._clock.now() + timeout).timestamp(),
             notice.total_seconds(),
         )
         sent = await self.in_flight.run(
@@ -156,13 +156,13 @@
         self._counters.add('orders_sent', outcome=problem or 'taken')
         if problem not in {None, OrderProblem.refused}:
             return
-        line = log.bind(order=order.order_id, count=intent.count)
+        bound_log = log.bind(order=order.order_id, count=intent.count)
         if problem is None:
-            line.info('Order taken.')
+            bound_log.info('Order taken.')
         else:
-            line.warning('Order refused.')
+            bound_log.warning('Order refused.')
             self._refused_at[intent.place] = self._clock.elapsed()
         settled = OrderIntent(
             intent.place, intent.sequence, intent.count, settled=True
         )
-        await self._write(row, settled)
+        await self._write_intent(row, settled)
--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from quetzalcourse.coordination.usage.usage_rows import expect
+from quetzalcourse.coordination.usage.usage_rows import require_unchanged
 from quetzalcourse.state.fleet import SpendingRecord
 from quetzalcourse.state.rows import FaultKind, StoreFault, Transaction, Write
 
@@ -18,7 +18,7 @@
     from quetzalcourse.state.clock import Clock
 
 SPENDING_KEY = 'spending'
-HOUR_SECONDS = 3600
+SECONDS_PER_HOUR = 3600
 
 
 def advance_spending(
@@ -44,7 +44,7 @@
     same_period = record.started == started
     since = record.updated if same_period else started
     before = record.spent if same_period else 0
-    hours = max(0, now - since) / HOUR_SECONDS
+    hours = max(0, now - since) / SECONDS_PER_HOUR
     return SpendingRecord(started, now, before + hours * record.rate, rate)
 
 
@@ -82,7 +82,7 @@
         )
         written = await self._table.transact(
             Transaction(
-                (self._lease.require(), expect(SPENDING_KEY, row)),
+                (self._lease.require(), require_unchanged(SPENDING_KEY, row)),
                 (Write(SPENDING_KEY, msgspec.json.encode(after)),),
             )
         )
--- a/quetzalcourse/coordination/steps/delivery_counts.py
+++ b/quetzalcourse/coordination/steps/delivery_metrics.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.steps.staleness import find_oldest
+from quetzalcourse.coordination.steps.staleness import find_oldest_version
 from quetzalcourse.state.service_levels import Indicator
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeliveryCounts:
+class DeliveryMetrics:
     """Counts samples when they are first delivered.
 
     :param levels: counts against the manifest's service levels.
@@ -35,19 +35,19 @@
     counters: Counters
     levels: ServiceLevels
 
-    def on_sealed(
+    def record_delivery(
         self,
         spec: StepSpec,
         before: DeliveryRecord,
         after: DeliveryRecord,
-        given: Iterable[DeliveredBatch],
+        batches: Iterable[DeliveredBatch],
     ) -> None:
         """Count what was delivered for the first time.
 
         :param before: record of the delivery before this reading.
-        :param given: batches that were read, earlier ones included.
+        :param batches: batches that were read, earlier ones included.
         """
-        for batch in given:
+        for batch in batches:
             if batch.position >= before.sealed:
                 self._count_batch(spec, batch)
         dropped = len(after.dropped) - len(before.dropped)
@@ -57,24 +57,26 @@
                 Indicator.staleness, spec.client_account, good=False
             )
         if after.whole_at is not None and before.whole_at is None:
-            self._count_whole(spec)
+            self._count_completed_step(spec)
 
     def _count_batch(self, spec: StepSpec, batch: DeliveredBatch) -> None:
         for sample in batch.samples:
-            behind = spec.weight_version - find_oldest(sample.versions)
+            versions_behind = spec.weight_version - find_oldest_version(
+                sample.versions
+            )
             self.counters.add(
                 'samples_delivered',
                 trainer=spec.trainer,
-                versions_behind=str(max(0, behind)),
+                versions_behind=str(max(0, versions_behind)),
             )
             self.levels.record(
                 Indicator.staleness, spec.client_account, good=True
             )
 
-    def _count_whole(self, spec: StepSpec) -> None:
-        taken = self.clock.now() - spec.created
+    def _count_completed_step(self, spec: StepSpec) -> None:
+        elapsed = self.clock.now() - spec.created
         allowed = timedelta(seconds=spec.deadline_seconds)
-        on_time = taken <= allowed
+        on_time = elapsed <= allowed
         outcome = 'on_time' if on_time else 'late'
         self.counters.add('steps_whole', trainer=spec.trainer, outcome=outcome)
         self.levels.record(
--- a/quetzalcourse/coordination/steps/delivery_rules.py
+++ b/quetzalcourse/coordination/steps/delivery_rules.py
@@ -43,7 +43,7 @@
     )
 
 
-def present(batch: StepBatch, record: DeliveryRecord) -> DeliveredBatch:
+def omit_dropped(batch: StepBatch, record: DeliveryRecord) -> DeliveredBatch:
     """Leave out what was dropped from a batch."""
     dropped = {
         sample.key
@@ -62,7 +62,7 @@
     if record.cancelled:
         return refuse_cancelled()
     if cursor > record.sealed:
-        return refuse_beyond(cursor, record.sealed)
+        return refuse_unread_cursor(cursor, record.sealed)
     if cursor >= record.acknowledged:
         return None
     return Refusal(
@@ -74,7 +74,7 @@
     )
 
 
-def refuse_beyond(cursor: int, sealed: int) -> Refusal:
+def refuse_unread_cursor(cursor: int, sealed: int) -> Refusal:
     """Refuse a cursor that would skip batches which were never read."""
     return Refusal(
         RefusalCode.invalid_body,
--- a/quetzalcourse/coordination/steps/dispatch_order.py
+++ b/quetzalcourse/coordination/steps/dispatch_order.py
@@ -7,9 +7,9 @@
 
 from quetzalcourse.state.steps import SampleKey
 
-REMEMBERED_PROMPTS = 8192
-NEW_SHARE = 0.3
-UNKNOWN_FACTOR = 1.5
+MAX_TRACKED_PROMPTS = 8192
+SMOOTHING_FACTOR = 0.3
+UNKNOWN_PROMPT_FACTOR = 1.5
 
 
 class LengthEstimator:
@@ -20,8 +20,8 @@
 
     def __init__(self) -> None:
         """Begin without a length."""
-        self._prompts: OrderedDict[tuple[str, str], float] = OrderedDict()
-        self._trainers: dict[str, float] = {}
+        self._by_prompt: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._by_trainer: dict[str, float] = {}
 
     def observe(self, trainer: str, prompt: str, tokens: int) -> None:
         """Learn from a finished sample.
@@ -30,11 +30,13 @@
         :param tokens: length of the sample.
         """
         key = (trainer, prompt)
-        self._prompts[key] = _blend(self._prompts.get(key), tokens)
-        self._prompts.move_to_end(key)
-        if len(self._prompts) > REMEMBERED_PROMPTS:
-            self._prompts.popitem(last=False)
-        self._trainers[trainer] = _blend(self._trainers.get(trainer), tokens)
+        self._by_prompt[key] = _update_average(self._by_prompt.get(key), tokens)
+        self._by_prompt.move_to_end(key)
+        if len(self._by_prompt) > MAX_TRACKED_PROMPTS:
+            self._by_prompt.popitem(last=False)
+        self._by_trainer[trainer] = _update_average(
+            self._by_trainer.get(trainer), tokens
+        )
 
     def estimate(self, trainer: str, prompt: str) -> float:
         """Tell how many tokens a sample should have.
@@ -42,10 +44,10 @@
         A prompt that was never seen counts as longer than most, so that it
         begins early and its length is known while others still wait.
         """
-        known = self._prompts.get((trainer, prompt))
-        if known is not None:
-            return known
-        return self._trainers.get(trainer, 0) * UNKNOWN_FACTOR
+        average = self._by_prompt.get((trainer, prompt))
+        if average is not None:
+            return average
+        return self._by_trainer.get(trainer, 0) * UNKNOWN_PROMPT_FACTOR
 
 
 class Backlog:
@@ -57,12 +59,12 @@
 
     def __init__(
         self,
-        memory: LengthEstimator,
+        lengths: LengthEstimator,
         trainer: str,
         prompts: tuple[str, ...],
     ) -> None:
         """Begin empty."""
-        self._memory = memory
+        self._lengths = lengths
         self._trainer = trainer
         self._prompts = prompts
         self._groups: dict[int, list[int]] = {}
@@ -95,11 +97,11 @@
         return SampleKey(group, index)
 
     def _rank(self, group: int) -> tuple[float, int, int]:
-        expected = self._memory.estimate(self._trainer, self._prompts[group])
+        expected = self._lengths.estimate(self._trainer, self._prompts[group])
         return expected, -self._groups[group][-1], -group
 
 
-def _blend(known: float | None, tokens: int) -> float:
-    if known is None:
+def _update_average(average: float | None, tokens: int) -> float:
+    if average is None:
         return float(tokens)
-    return known + (tokens - known) * NEW_SHARE
+    return average + (tokens - average) * SMOOTHING_FACTOR
--- a/quetzalcourse/coordination/steps/dispatching.py
+++ b/quetzalcourse/coordination/steps/dispatcher.py
@@ -14,15 +14,15 @@
     Backlog,
     LengthEstimator,
 )
-from quetzalcourse.coordination.steps.sample_making import (
-    MakingParts,
-    SampleMaking,
+from quetzalcourse.coordination.steps.sample_producer import (
+    ProducerParts,
+    SampleProducer,
 )
-from quetzalcourse.coordination.steps.sample_stream import SampleOrder
+from quetzalcourse.coordination.steps.sample_stream import SampleSpec
 from quetzalcourse.coordination.steps.stragglers import (
-    Rescue,
+    Mitigation,
     RunningSample,
-    plan_rescues,
+    plan_mitigations,
 )
 
 if TYPE_CHECKING:
@@ -34,11 +34,11 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.steps import Sample, SampleKey, StepSpec
 
-RescuePlan = Callable[[Sequence[RunningSample], int], list[Rescue]]
-MAX_STUCK = 16
-MAX_IN_MAKING = 1024
-RESCUE_INTERVAL = timedelta(seconds=2)
-HURRY = timedelta(seconds=60)
+MitigationPlanner = Callable[[Sequence[RunningSample], int], list[Mitigation]]
+MAX_WAITING_SAMPLES = 16
+MAX_CONCURRENT_SAMPLES = 1024
+MITIGATION_INTERVAL = timedelta(seconds=2)
+DEADLINE_MARGIN = timedelta(seconds=60)
 HASH_LENGTH = 16
 
 
@@ -46,15 +46,15 @@
     """Takes finished samples, within bounded memory."""
 
     @property
-    def may_hold(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether more finished samples fit into memory."""
 
-    def take(self, sample: Sample) -> None:
+    def accept(self, sample: Sample) -> None:
         """Take a finished sample."""
 
 
 @dataclass(slots=True)
-class MakingBudget:
+class ConcurrencyBudget:
     """Samples in the making on this daemon, shared by its steps.
 
     :param steps: steps that run here.
@@ -63,9 +63,9 @@
     steps: int = 0
 
     @property
-    def share(self) -> int:
+    def limit_per_step(self) -> int:
         """How many samples one step may have in the making."""
-        return MAX_IN_MAKING // max(1, self.steps)
+        return MAX_CONCURRENT_SAMPLES // max(1, self.steps)
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,8 +82,8 @@
     counters: Counters
     newest: NewestVersions
     lengths: LengthEstimator
-    budget: MakingBudget
-    plan: RescuePlan = plan_rescues
+    budget: ConcurrencyBudget
+    plan: MitigationPlanner = plan_mitigations
 
 
 class Dispatcher:
@@ -111,12 +111,12 @@
         self._run = run
         self._sink: SampleSink | None = None
         self._backlog = Backlog(parts.lengths, spec.trainer, self._hashes)
-        self._makings: dict[SampleKey, SampleMaking] = {}
+        self._producers: dict[SampleKey, SampleProducer] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._changed = asyncio.Event()
-        self._most_running = 0
+        self._peak_running = 0
         self._failure: BaseException | None = None
-        self._making_parts = MakingParts(
+        self._producer_parts = ProducerParts(
             parts.generation,
             parts.clock,
             parts.counters,
@@ -124,7 +124,7 @@
             self._changed.set,
         )
 
-    def feed(self, sink: SampleSink) -> None:
+    def attach_sink(self, sink: SampleSink) -> None:
         """Hand finished samples to a sink, and heed its bounds."""
         self._sink = sink
 
@@ -133,7 +133,7 @@
         self._backlog.add(keys)
         self._changed.set()
 
-    def remake(self, keys: Iterable[SampleKey]) -> None:
+    def regenerate(self, keys: Iterable[SampleKey]) -> None:
         """Make samples again that were made for nothing."""
         wanted = list(keys)
         self.attempts.update(wanted)
@@ -147,24 +147,24 @@
     @property
     def pending(self) -> int:
         """Count the samples that are not finished."""
-        return len(self._backlog) + len(self._makings)
+        return len(self._backlog) + len(self._producers)
 
     def count_waiting(self) -> int:
         """Count the samples that wait for an engine."""
-        return sum(making.waiting for making in self._makings.values())
+        return sum(producer.waiting for producer in self._producers.values())
 
     def count_held_up(self) -> Counter[str]:
         """Count the samples that nothing runs for, by reason."""
         return Counter(
-            making.held_up
-            for making in self._makings.values()
-            if making.held_up
+            producer.held_up
+            for producer in self._producers.values()
+            if producer.held_up
         )
 
     def count_running(self) -> int:
         """Count the samples whose tokens arrive."""
         held_up = self.count_held_up().total()
-        return len(self._makings) - self.count_waiting() - held_up
+        return len(self._producers) - self.count_waiting() - held_up
 
     async def dispatch(self) -> None:
         """Begin samples for as long as the step runs.
@@ -176,19 +176,19 @@
             while self._may_start():
                 self._start(self._backlog.pop())
             running = self.count_running()
-            self._most_running = max(self._most_running, running)
+            self._peak_running = max(self._peak_running, running)
             self._changed.clear()
             await self._changed.wait()
             if self._failure is not None:
                 raise self._failure
 
-    async def rescue(self) -> None:
+    async def mitigate_stragglers(self) -> None:
         """Help stragglers for as long as the step runs."""
         while True:
-            await self._parts.clock.sleep(RESCUE_INTERVAL)
+            await self._parts.clock.sleep(MITIGATION_INTERVAL)
             self._changed.set()
             if not self._backlog:
-                await self._rescue_once()
+                await self._mitigate_once()
 
     async def stop(self) -> None:
         """End every stream."""
@@ -200,15 +200,15 @@
     def _may_start(self) -> bool:
         # Requests beyond what engines take would only wait, in an order
         # that can no longer be changed, each with its share of memory.
-        if not self._backlog or not (self._sink and self._sink.may_hold):
+        if not self._backlog or not (self._sink and self._sink.has_capacity):
             return False
-        if len(self._makings) >= self._parts.budget.share:
+        if len(self._producers) >= self._parts.budget.limit_per_step:
             return False
-        stuck = self.count_waiting() + self.count_held_up().total()
-        return stuck < MAX_STUCK
+        waiting = self.count_waiting() + self.count_held_up().total()
+        return waiting < MAX_WAITING_SAMPLES
 
     def _start(self, key: SampleKey) -> None:
-        order = SampleOrder(
+        sample_spec = SampleSpec(
             self._spec,
             key,
             self._prompts[key.group],
@@ -216,9 +216,9 @@
             self._deadline,
             f'{self._run}-{self.attempts[key]}',
         )
-        making = SampleMaking(order, self._making_parts)
-        self._makings[key] = making
-        task = asyncio.get_running_loop().create_task(self._make(making))
+        producer = SampleProducer(sample_spec, self._producer_parts)
+        self._producers[key] = producer
+        task = asyncio.get_running_loop().create_task(self._produce(producer))
         self._tasks.add(task)
         task.add_done_callback(self._on_ended)
 
@@ -228,35 +228,37 @@
             self._failure = task.exception()
             self._changed.set()
 
-    async def _make(self, making: SampleMaking) -> None:
-        key = making.order.key
+    async def _produce(self, producer: SampleProducer) -> None:
+        key = producer.sample_spec.key
         try:
-            sample = await making.make()
+            sample = await producer.produce()
         finally:
-            self._makings.pop(key, None)
+            self._producers.pop(key, None)
             self._changed.set()
         self._parts.lengths.observe(
             self._spec.trainer, self._hashes[key.group], sample.token_count
         )
         if self._sink is not None:
-            self._sink.take(sample)
+            self._sink.accept(sample)
 
-    async def _rescue_once(self) -> None:
+    async def _mitigate_once(self) -> None:
         running = [
-            seen
-            for seen in map(SampleMaking.observe, self._makings.values())
-            if seen is not None
+            sample
+            for sample in map(SampleProducer.snapshot, self._producers.values())
+            if sample is not None
         ]
-        for rescue in self._parts.plan(running, self._count_idle()):
-            making = self._makings.get(rescue.key)
-            if making is not None:
-                await making.rescue(rescue.kind)
-
-    def _count_idle(self) -> int:
-        streams = sum(len(making.streams) for making in self._makings.values())
-        if self._parts.clock.elapsed() >= self._deadline - HURRY:
-            return self._most_running
-        return self._most_running - streams
+        for mitigation in self._parts.plan(running, self._count_idle_slots()):
+            producer = self._producers.get(mitigation.key)
+            if producer is not None:
+                await producer.mitigate(mitigation.kind)
+
+    def _count_idle_slots(self) -> int:
+        streams = sum(
+            len(producer.streams) for producer in self._producers.values()
+        )
+        if self._parts.clock.elapsed() >= self._deadline - DEADLINE_MARGIN:
+            return self._peak_running
+        return self._peak_running - streams
 
 
 def hash_prompt(prompt: str) -> str:
--- a/quetzalcourse/coordination/steps/leased_rows.py
+++ b/quetzalcourse/coordination/steps/fenced_writer.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from quetzalcourse.coordination.steps.step_rows import StepLostError
+from quetzalcourse.coordination.steps.step_rows import StepLeaseLostError
 from quetzalcourse.state.rows import ABSENT, Condition, Transaction, Write
 
 if TYPE_CHECKING:
@@ -15,10 +15,10 @@
     from quetzalcourse.coordination.steps.step_lease import StepLease
     from quetzalcourse.state.clock import Clock
 
-RETRY = timedelta(seconds=1)
+RETRY_INTERVAL = timedelta(seconds=1)
 
 
-class LeasedRows:
+class FencedWriter:
     """Writes rows under a lease, whatever becomes of the answers.
 
     :param lease: the lease that every write requires.
@@ -30,18 +30,28 @@
         self._lease = lease
         self._clock = clock
 
-    async def put(self, key: str, content: bytes, *also: Write) -> None:
+    async def insert(
+        self,
+        key: str,
+        content: bytes,
+        *extra_writes: Write,
+    ) -> None:
         """Write a row that is absent, however long the store takes.
 
-        :param also: writes of the same transaction.
+        :param extra_writes: writes of the same transaction.
         :raises StepLostError: if another holder took over.
         """
-        while not await self.try_put(key, content, *also):
-            if await self._settle(key, content):
+        while not await self.try_insert(key, content, *extra_writes):
+            if await self._confirm_insert(key, content):
                 return
-            await self._clock.sleep(RETRY)
+            await self._clock.sleep(RETRY_INTERVAL)
 
-    async def try_put(self, key: str, content: bytes, *also: Write) -> bool:
+    async def try_insert(
+        self,
+        key: str,
+        content: bytes,
+        *extra_writes: Write,
+    ) -> bool:
         """Write a row that is absent, once.
 
         :returns: whether it is known to be written.
@@ -49,12 +59,12 @@
         answer = await self._table.transact(
             Transaction(
                 (self._lease.require(), Condition(key, ABSENT)),
-                (Write(key, content), *also),
+                (Write(key, content), *extra_writes),
             )
         )
         return isinstance(answer, Ok) and answer.ok_value.applied
 
-    async def _settle(self, key: str, content: bytes) -> bool:
+    async def _confirm_insert(self, key: str, content: bytes) -> bool:
         # The answer may have been lost after the write took effect. Without
         # reading back, the samples would be written once more at the next
         # position, and the trainer would get them twice.
@@ -65,6 +75,6 @@
         if row is not None and row.content == content:
             return True
         if row is not None:
-            raise StepLostError('Another daemon wrote this position.')
+            raise StepLeaseLostError('Another daemon wrote this position.')
         await self._lease.renew()
         return False
--- a/quetzalcourse/coordination/steps/sample_pipeline.py
+++ b/quetzalcourse/coordination/steps/sample_pipeline.py
@@ -8,14 +8,14 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.steps.staleness import (
-    find_oldest_allowed,
+    find_oldest_allowed_version,
     is_deliverable,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quetzalcourse.coordination.steps.dispatching import (
+    from quetzalcourse.coordination.steps.dispatcher import (
         Dispatcher,
         DispatchParts,
     )
@@ -28,11 +28,11 @@
         StepSpec,
     )
 
-BATCH_SAMPLES = 64
-BATCH_CHARACTERS = 1_000_000
-HELD_CHARACTERS = 32_000_000
-COMMIT_TICK = timedelta(milliseconds=250)
-COMMIT_WAIT = timedelta(seconds=3)
+MAX_BATCH_SAMPLES = 64
+MAX_BATCH_CHARACTERS = 1_000_000
+MAX_BUFFERED_CHARACTERS = 32_000_000
+COMMIT_POLL_INTERVAL = timedelta(milliseconds=250)
+MAX_COMMIT_DELAY = timedelta(seconds=3)
 
 
 class SamplePipeline:
@@ -52,7 +52,7 @@
         report: Callable[[], RunReport],
     ) -> None:
         """Begin empty."""
-        self.committed_at = parts.clock.elapsed()
+        self.last_commit_at = parts.clock.elapsed()
         self._parts = parts
         self._clock = parts.clock
         self._spec = spec
@@ -60,12 +60,12 @@
         self._scoring = scoring
         self._dispatcher = dispatcher
         self._report = report
-        self._made: asyncio.Queue[Sample] = asyncio.Queue()
-        self._ready: asyncio.Queue[Sample] = asyncio.Queue()
+        self._scoring_queue: asyncio.Queue[Sample] = asyncio.Queue()
+        self._commit_queue: asyncio.Queue[Sample] = asyncio.Queue()
         self._committing: list[Sample] = []
-        self._held_characters = 0
+        self._buffered_characters = 0
         self._unscored: set[SampleKey] = set()
-        self._scorings: set[asyncio.Task[None]] = set()
+        self._scoring_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def unscored(self) -> int:
@@ -75,21 +75,21 @@
     @property
     def uncommitted(self) -> int:
         """Count the samples that only need to be committed."""
-        return self._ready.qsize() + len(self._committing)
+        return self._commit_queue.qsize() + len(self._committing)
 
     @property
-    def may_hold(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether more finished samples fit into memory."""
-        return self._held_characters < HELD_CHARACTERS
+        return self._buffered_characters < MAX_BUFFERED_CHARACTERS
 
-    def take(self, sample: Sample) -> None:
+    def accept(self, sample: Sample) -> None:
         """Take a finished sample."""
-        self._held_characters += len(sample.text)
+        self._buffered_characters += len(sample.text)
         if self._spec.scored:
             self._unscored.add(sample.key)
-            self._made.put_nowait(sample)
+            self._scoring_queue.put_nowait(sample)
         else:
-            self._ready.put_nowait(sample)
+            self._commit_queue.put_nowait(sample)
 
     async def score(self) -> None:
         """Score samples for as long as the step runs.
@@ -99,12 +99,12 @@
         loop = asyncio.get_running_loop()
         while True:
             batch: list[Sample] = []
-            await self._gather(self._made, batch)
+            await self._collect_batch(self._scoring_queue, batch)
             await self._scoring.claim(batch)
             for sample in batch:
                 task = loop.create_task(self._score_one(sample))
-                self._scorings.add(task)
-                task.add_done_callback(self._scorings.discard)
+                self._scoring_tasks.add(task)
+                task.add_done_callback(self._scoring_tasks.discard)
 
     async def commit(self) -> None:
         """Commit samples for as long as the step runs.
@@ -112,13 +112,13 @@
         :raises StepLostError: if another daemon took the step over.
         """
         while True:
-            await self._gather(self._ready, self._committing)
-            batch = self._choose_fresh(self._committing)
+            await self._collect_batch(self._commit_queue, self._committing)
+            batch = self._discard_stale(self._committing)
             if batch:
-                await self._log.append(batch, self._foresee(batch))
-                self.committed_at = self._clock.elapsed()
+                await self._log.append(batch, self._project_report(batch))
+                self.last_commit_at = self._clock.elapsed()
             for sample in self._committing:
-                self._let_go(sample)
+                self._release(sample)
             self._committing = []
 
     async def stop(self) -> None:
@@ -127,27 +127,27 @@
         A daemon that leaves would otherwise have its last samples made
         again elsewhere.
         """
-        tasks = tuple(self._scorings)
+        tasks = tuple(self._scoring_tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        while not self._ready.empty():
-            self._committing.append(self._ready.get_nowait())
-        batch = self._choose_fresh(self._committing)
+        while not self._commit_queue.empty():
+            self._committing.append(self._commit_queue.get_nowait())
+        batch = self._discard_stale(self._committing)
         if batch:
-            await self._log.try_append(batch, self._foresee(batch))
+            await self._log.try_append(batch, self._project_report(batch))
 
     async def _score_one(self, sample: Sample) -> None:
         attempt = self._dispatcher.attempts[sample.key]
         scored = await self._scoring.score(sample, attempt)
         self._unscored.discard(sample.key)
         if scored is None:
-            self._let_go(sample)
-            self._dispatcher.remake([sample.key])
+            self._release(sample)
+            self._dispatcher.regenerate([sample.key])
         else:
-            self._ready.put_nowait(scored)
+            self._commit_queue.put_nowait(scored)
 
-    async def _gather(
+    async def _collect_batch(
         self,
         queue: asyncio.Queue[Sample],
         batch: list[Sample],
@@ -157,26 +157,26 @@
         while not is_full(batch):
             while not queue.empty() and not is_full(batch):
                 batch.append(queue.get_nowait())
-            scoring = queue is self._ready and bool(self._unscored)
+            scoring = queue is self._commit_queue and bool(self._unscored)
             last = self._dispatcher.pending == 0 and not scoring
-            if last or waited >= COMMIT_WAIT:
+            if last or waited >= MAX_COMMIT_DELAY:
                 return
-            await self._clock.sleep(COMMIT_TICK)
-            waited += COMMIT_TICK
+            await self._clock.sleep(COMMIT_POLL_INTERVAL)
+            waited += COMMIT_POLL_INTERVAL
 
-    def _choose_fresh(self, samples: list[Sample]) -> tuple[Sample, ...]:
+    def _discard_stale(self, samples: list[Sample]) -> tuple[Sample, ...]:
         newest = self._parts.newest.get_cached(self._spec.model)
-        oldest = find_oldest_allowed(self._spec, newest)
+        oldest = find_oldest_allowed_version(self._spec, newest)
         stale = [
             sample for sample in samples if not is_deliverable(sample, oldest)
         ]
         if stale:
             tokens = sum(sample.token_count for sample in stale)
             self._parts.counters.add('tokens_wasted', tokens)
-            self._dispatcher.remake([sample.key for sample in stale])
+            self._dispatcher.regenerate([sample.key for sample in stale])
         return tuple(sample for sample in samples if sample not in stale)
 
-    def _foresee(self, batch: tuple[Sample, ...]) -> RunReport:
+    def _project_report(self, batch: tuple[Sample, ...]) -> RunReport:
         report = self._report()
         return replace(
             report,
@@ -184,12 +184,12 @@
             uncommitted=report.uncommitted - len(batch),
         )
 
-    def _let_go(self, sample: Sample) -> None:
-        self._held_characters -= len(sample.text)
+    def _release(self, sample: Sample) -> None:
+        self._buffered_characters -= len(sample.text)
 
 
 def is_full(batch: list[Sample]) -> bool:
     """Tell whether a batch is large enough to be committed."""
-    if len(batch) >= BATCH_SAMPLES:
+    if len(batch) >= MAX_BATCH_SAMPLES:
         return True
-    return sum(len(sample.text) for sample in batch) >= BATCH_CHARACTERS
+    return sum(len(sample.text) for sample in batch) >= MAX_BATCH_CHARACTERS
--- a/quetzalcourse/coordination/steps/sample_making.py
+++ b/quetzalcourse/coordination/steps/sample_producer.py
@@ -9,18 +9,18 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.steps.sample_stream import (
-    SampleOrder,
-    Stream,
-    UnusableError,
-    assemble_sample,
+    SampleSpec,
+    SampleStream,
+    UndeliverableError,
+    build_sample,
 )
 from quetzalcourse.coordination.steps.staleness import (
-    find_oldest,
-    find_oldest_allowed,
+    find_oldest_allowed_version,
+    find_oldest_version,
     is_deliverable,
 )
 from quetzalcourse.coordination.steps.stragglers import (
-    RescueKind,
+    MitigationKind,
     RunningSample,
 )
 from quetzalcourse.exceptions import RefusedError
@@ -39,59 +39,61 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.steps import Sample
 
-FIRST_WAIT = timedelta(milliseconds=250)
-MAX_WAIT = timedelta(seconds=10)
-LATE_ALLOWANCE = timedelta(seconds=120)
-UNNAMED = 'versions_not_named'
+INITIAL_BACKOFF = timedelta(milliseconds=250)
+MAX_BACKOFF = timedelta(seconds=10)
+LATE_TIMEOUT = timedelta(seconds=120)
+VERSIONS_NOT_NAMED = 'versions_not_named'
 TOO_OLD = 'too_old'
 ENDED_EARLY = 'ended_early'
 
 
 @dataclass(frozen=True, slots=True)
-class MakingParts:
+class ProducerParts:
     """What making a sample needs.
 
-    :param on_tokens: called when a sample's first token comes.
+    :param on_first_token: called when a sample's first token comes.
     """
 
     generation: Generator
     clock: Clock
     counters: Counters
     newest: NewestVersions
-    on_tokens: Callable[[], None]
+    on_first_token: Callable[[], None]
 
 
 @dataclass(slots=True)
-class SampleMaking:
+class SampleProducer:
     """One sample until it is whole, labelled and new enough.
 
     :param held_up: reason why nothing runs for it at this moment.
     """
 
-    order: SampleOrder
-    parts: MakingParts
+    sample_spec: SampleSpec
+    parts: ProducerParts
     held_up: str = ''
-    streams: list[Stream] = field(default_factory=list)
-    _ended: asyncio.Queue[Stream] = field(default_factory=asyncio.Queue)
-    _number: int = 0
-    _began: bool = False
+    streams: list[SampleStream] = field(default_factory=list)
+    _ended_streams: asyncio.Queue[SampleStream] = field(
+        default_factory=asyncio.Queue
+    )
+    _stream_count: int = 0
+    _has_tokens: bool = False
     _closed: bool = False
-    _wait: timedelta = FIRST_WAIT
+    _backoff: timedelta = INITIAL_BACKOFF
 
     @property
     def waiting(self) -> bool:
         """Whether no token came yet and nothing holds the sample up."""
-        return not self._began and not self.held_up
+        return not self._has_tokens and not self.held_up
 
-    async def make(self) -> Sample:
+    async def produce(self) -> Sample:
         """Make the sample, however often it has to be begun again.
 
         :raises Exception: what a stream met that nobody expected.
         """
-        self._start(Stream([], (), frozenset()))
+        self._start(SampleStream([], (), frozenset()))
         try:
             while True:
-                stream = await self._ended.get()
+                stream = await self._ended_streams.get()
                 sample = await self._on_ended(stream)
                 if sample is not None:
                     return sample
@@ -99,22 +101,22 @@
             self._closed = True
             await self._stop(tuple(self.streams))
 
-    def observe(self) -> RunningSample | None:
+    def snapshot(self) -> RunningSample | None:
         """Describe the sample if it has one stream, which has tokens."""
         if len(self.streams) != 1:
             return None
         stream = self.streams[0]
-        if stream.began is None or stream.heard is None:
+        if stream.first_token_at is None or stream.last_token_at is None:
             return None
         return RunningSample(
-            self.order.key,
+            self.sample_spec.key,
             stream.upstream,
-            len(stream.tokens) - stream.inherited,
-            stream.heard - stream.began,
-            self.parts.clock.elapsed() - stream.heard,
+            len(stream.tokens) - stream.inherited_tokens,
+            stream.last_token_at - stream.first_token_at,
+            self.parts.clock.elapsed() - stream.last_token_at,
         )
 
-    async def rescue(self, kind: RescueKind) -> None:
+    async def mitigate(self, kind: MitigationKind) -> None:
         """Go on elsewhere behind the last token.
 
         :param kind: whether the stream that lags ends or runs on.
@@ -124,20 +126,22 @@
         stream = self.streams[0]
         if stream.problem or stream.finish_reason:
             return
-        if kind is RescueKind.move:
+        if kind is MitigationKind.move:
             await self._stop((stream,))
-        self._start(stream.hand_over())
+        self._start(stream.fork())
         self.parts.counters.add('samples_rescued', kind=kind.value)
 
-    def _start(self, stream: Stream) -> None:
+    def _start(self, stream: SampleStream) -> None:
         if self._closed:
             return
-        self._number += 1
+        self._stream_count += 1
         self.streams.append(stream)
         loop = asyncio.get_running_loop()
-        stream.task = loop.create_task(self._follow(stream, self._number))
+        stream.task = loop.create_task(
+            self._run_stream(stream, self._stream_count)
+        )
 
-    async def _stop(self, streams: Sequence[Stream]) -> None:
+    async def _stop(self, streams: Sequence[SampleStream]) -> None:
         for stream in streams:
             self.streams.remove(stream)
         tasks = [stream.task for stream in streams if stream.task]
@@ -145,117 +149,126 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _on_ended(self, stream: Stream) -> Sample | None:
+    async def _on_ended(self, stream: SampleStream) -> Sample | None:
         if stream.failure is not None:
             raise stream.failure
         if stream not in self.streams:
             return None
         self.streams.remove(stream)
         if stream.finish_reason and not stream.problem:
-            await self.parts.newest.find(self.order.spec.model)
-            sample = assemble_sample(self.order.key, stream)
-            if is_deliverable(sample, self._find_oldest_allowed()):
-                self._count_copies(stream)
+            await self.parts.newest.fetch(self.sample_spec.step_spec.model)
+            sample = build_sample(self.sample_spec.key, stream)
+            if is_deliverable(sample, self._find_oldest_allowed_version()):
+                self._count_wasted_copies(stream)
                 return sample
-            stream.problem = self._judge(stream) or UNNAMED
+            stream.problem = self._find_problem(stream) or VERSIONS_NOT_NAMED
         self.parts.counters.add('streams_ended', reason=stream.problem)
         if self.streams:
             self._count_wasted(stream, self.streams[0])
         else:
-            await self._begin_again(stream)
+            await self._restart(stream)
         return None
 
-    async def _begin_again(self, stream: Stream) -> None:
-        unusable = bool(self._judge(stream) or stream.finish_reason)
-        follower = stream.hand_over()
+    async def _restart(self, stream: SampleStream) -> None:
+        unusable = bool(self._find_problem(stream) or stream.finish_reason)
+        successor = stream.fork()
         if unusable:
             self._count_wasted(stream)
-            follower = Stream([], (), follower.avoid)
+            successor = SampleStream([], (), successor.avoid)
         if stream.problem != TOO_OLD:
             # An engine that answers but names no version would otherwise be
             # asked again without end, at full speed.
             self.held_up = stream.problem
-            await self.parts.clock.sleep(stream.retry_after or self._wait)
-            self._wait = min(self._wait * 2, MAX_WAIT)
+            await self.parts.clock.sleep(stream.retry_after or self._backoff)
+            self._backoff = min(self._backoff * 2, MAX_BACKOFF)
             self.held_up = ''
-        self._start(follower)
+        self._start(successor)
 
-    async def _follow(self, stream: Stream, number: int) -> None:
+    async def _run_stream(self, stream: SampleStream, number: int) -> None:
         try:
             await self._receive(stream, number)
         except RefusedError as error:
             stream.problem = error.refusal.code.value
             stream.retry_after = error.refusal.retry_after
-        except UnusableError as error:
+        except UndeliverableError as error:
             stream.problem = error.reason
         except Exception as error:
             stream.failure = error
         if not stream.finish_reason and not stream.problem:
             stream.problem = ENDED_EARLY
-        self._ended.put_nowait(stream)
+        self._ended_streams.put_nowait(stream)
 
-    async def _receive(self, stream: Stream, number: int) -> None:
+    async def _receive(self, stream: SampleStream, number: int) -> None:
         request = self._build_request(stream, number)
         running = self.parts.generation.run(request)
         async with aclosing(running) as chunks:  # type: ignore[type-var]
             async for chunk in chunks:
-                self._take(stream, chunk)
+                self._on_chunk(stream, chunk)
 
-    def _take(self, stream: Stream, chunk: Chunk) -> None:
+    def _on_chunk(self, stream: SampleStream, chunk: Chunk) -> None:
         stream.extend(chunk, self.parts.clock.elapsed())
-        model = self.order.spec.model
+        model = self.sample_spec.step_spec.model
         self.parts.newest.observe(model, chunk.weight_version)
-        self._wait = FIRST_WAIT
-        if not self._began:
-            self._began = True
-            self.parts.on_tokens()
+        self._backoff = INITIAL_BACKOFF
+        if not self._has_tokens:
+            self._has_tokens = True
+            self.parts.on_first_token()
         # Tokens behind an unnamed or too old one can't be delivered either;
         # going on would hold a slot for nothing.
-        problem = self._judge(stream)
+        problem = self._find_problem(stream)
         if problem:
-            raise UnusableError(problem)
+            raise UndeliverableError(problem)
 
-    def _judge(self, stream: Stream) -> str:
+    def _find_problem(self, stream: SampleStream) -> str:
         if not stream.versions:
             return ''
-        oldest = find_oldest(stream.versions)
+        oldest = find_oldest_version(stream.versions)
         if oldest < 1:
-            return UNNAMED
-        return TOO_OLD if oldest < self._find_oldest_allowed() else ''
+            return VERSIONS_NOT_NAMED
+        return TOO_OLD if oldest < self._find_oldest_allowed_version() else ''
 
-    def _find_oldest_allowed(self) -> int:
-        spec = self.order.spec
-        return find_oldest_allowed(
+    def _find_oldest_allowed_version(self) -> int:
+        spec = self.sample_spec.step_spec
+        return find_oldest_allowed_version(
             spec, self.parts.newest.get_cached(spec.model)
         )
 
-    def _build_request(self, stream: Stream, number: int) -> GenerationRequest:
-        order = self.order
-        spec = order.spec
-        latest = self.parts.clock.elapsed() + LATE_ALLOWANCE
+    def _build_request(
+        self,
+        stream: SampleStream,
+        number: int,
+    ) -> GenerationRequest:
+        sample_spec = self.sample_spec
+        spec = sample_spec.step_spec
+        latest = self.parts.clock.elapsed() + LATE_TIMEOUT
         return GenerationRequest(
-            request_id=f'{order.name}-{order.run}-{number}',
+            request_id=f'{sample_spec.name}-{sample_spec.run}-{number}',
             client_account=spec.client_account,
             traffic_class=TrafficClass.training,
             model=spec.model,
-            prompt=order.prompt,
+            prompt=sample_spec.prompt,
             max_tokens=spec.max_tokens,
-            deadline=max(order.deadline, latest),
-            seed=order.key.index + order.attempt * spec.samples_per_group,
-            oldest_version=self._find_oldest_allowed(),
+            deadline=max(sample_spec.deadline, latest),
+            seed=sample_spec.key.index
+            + sample_spec.attempt * spec.samples_per_group,
+            oldest_version=self._find_oldest_allowed_version(),
             received=tuple(stream.tokens),
             avoid=stream.avoid,
         )
 
-    def _count_copies(self, winner: Stream) -> None:
+    def _count_wasted_copies(self, winner: SampleStream) -> None:
         for stream in self.streams:
             self._count_wasted(stream, winner)
 
     def _count_wasted(
         self,
-        stream: Stream,
-        kept: Stream | None = None,
+        stream: SampleStream,
+        survivor: SampleStream | None = None,
     ) -> None:
-        shared = max(stream.inherited, kept.inherited) if kept else 0
+        shared = (
+            max(stream.inherited_tokens, survivor.inherited_tokens)
+            if survivor
+            else 0
+        )
         wasted = len(stream.tokens) - shared
         self.parts.counters.add('tokens_wasted', wasted)
--- a/quetzalcourse/coordination/steps/sample_stream.py
+++ b/quetzalcourse/coordination/steps/sample_stream.py
@@ -21,7 +21,7 @@
     from quetzalcourse.state.generation import Chunk
 
 
-class UnusableError(QuetzalcourseError):
+class UndeliverableError(QuetzalcourseError):
     """Tokens that must not be delivered.
 
     :param reason: why, as it is counted.
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SampleOrder:
+class SampleSpec:
     """Sample to make.
 
     :param attempt: how often it was made for nothing; changes the seed
@@ -43,7 +43,7 @@
     :param run: makes request ids different from those of other runs.
     """
 
-    spec: StepSpec
+    step_spec: StepSpec
     key: SampleKey
     prompt: str
     attempt: int
@@ -53,29 +53,29 @@
     @property
     def name(self) -> str:
         """Name the sample among all trainers' samples."""
-        spec = self.spec
+        spec = self.step_spec
         return f'{spec.trainer}/{spec.step}/{self.key.group}/{self.key.index}'
 
 
 @dataclass(slots=True)
-class Stream:
+class SampleStream:
     """One run of the sample's request.
 
     :param tokens: tokens so far, those handed over included.
     :param versions: weight versions that made them.
     :param avoid: names of engines to keep off.
     :param upstream: name of the engine that the last token came from.
-    :param began: when its own first token came.
-    :param heard: when its last token came.
+    :param first_token_at: when its own first token came.
+    :param last_token_at: when its last token came.
     """
 
     tokens: list[str]
     versions: tuple[VersionRange, ...]
     avoid: frozenset[str]
-    inherited: int = 0
+    inherited_tokens: int = 0
     upstream: str = ''
-    began: timedelta | None = None
-    heard: timedelta | None = None
+    first_token_at: timedelta | None = None
+    last_token_at: timedelta | None = None
     finish_reason: str = ''
     problem: str = ''
     failure: Exception | None = None
@@ -87,21 +87,21 @@
 
         :param now: time since boot.
         """
-        self.heard = now
-        self.began = self.began or now
+        self.last_token_at = now
+        self.first_token_at = self.first_token_at or now
         self.tokens.extend(chunk.tokens)
         self.versions = extend_versions(self.versions, chunk)
         self.upstream = chunk.upstream
         self.finish_reason = chunk.finish_reason
 
-    def hand_over(self) -> Stream:
+    def fork(self) -> SampleStream:
         """Begin a stream elsewhere behind the last token of this one."""
         avoid = frozenset((self.upstream,)) if self.upstream else frozenset()
         tokens = list(self.tokens)
-        return Stream(tokens, self.versions, avoid, len(tokens))
+        return SampleStream(tokens, self.versions, avoid, len(tokens))
 
 
-def assemble_sample(key: SampleKey, stream: Stream) -> Sample:
+def build_sample(key: SampleKey, stream: SampleStream) -> Sample:
     """Make a sample of a stream that ended as it should."""
     return Sample(
         group=key.group,
--- a/quetzalcourse/coordination/steps/scoring.py
+++ b/quetzalcourse/coordination/steps/scoring.py
@@ -12,9 +12,9 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.steps.step_rows import (
+    build_claims_prefix,
     decode,
     encode,
-    name_claims,
 )
 from quetzalcourse.state.rows import FaultKind
 from quetzalcourse.state.steps import SampleKey
@@ -22,16 +22,16 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from quetzalcourse.coordination.steps.leased_rows import LeasedRows
     from quetzalcourse.coordination.ports import Scorer, Table
+    from quetzalcourse.coordination.steps.fenced_writer import FencedWriter
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.rows import StoreFault
     from quetzalcourse.state.steps import Sample, StepSpec
 
-MAX_CALLS = 32
-FIRST_WAIT = timedelta(milliseconds=500)
-MAX_WAIT = timedelta(seconds=15)
+MAX_CONCURRENT_CALLS = 32
+INITIAL_BACKOFF = timedelta(milliseconds=500)
+MAX_BACKOFF = timedelta(seconds=15)
 DIGEST_LENGTH = 16
 
 
@@ -43,13 +43,13 @@
     call was made, and makes the sample again with another seed, so that
     the call for the old text is never sent a second time.
 
-    :param rows: writes under the lease on the step.
+    :param writer: writes under the lease on the step.
     """
 
     def __init__(
         self,
         table: Table,
-        rows: LeasedRows,
+        writer: FencedWriter,
         scorer: Scorer,
         clock: Clock,
         counters: Counters,
@@ -58,25 +58,25 @@
         """Begin with no claim loaded."""
         self.claims: Counter[SampleKey] = Counter()
         self._table = table
-        self._rows = rows
+        self._writer = writer
         self._scorer = scorer
         self._clock = clock
         self._counters = counters
         self._spec = spec
-        self._positions = 0
-        self._calls = asyncio.Semaphore(MAX_CALLS)
+        self._claim_rows = 0
+        self._call_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def load(self) -> Result[None, StoreFault]:
         """Read the claims of earlier holders."""
         if self._spec.scoring_repeatable:
             return Ok(None)
-        prefix = name_claims(self._spec.trainer, self._spec.step)
+        prefix = build_claims_prefix(self._spec.trainer, self._spec.step)
         answer = await self._table.scan(prefix)
         if isinstance(answer, Err):
             return answer
         for row in answer.ok_value:
             self.claims.update(decode(row, list[SampleKey]))
-        self._positions = len(answer.ok_value)
+        self._claim_rows = len(answer.ok_value)
         return Ok(None)
 
     async def claim(self, samples: Sequence[Sample]) -> None:
@@ -86,10 +86,12 @@
         """
         if self._spec.scoring_repeatable:
             return
-        prefix = name_claims(self._spec.trainer, self._spec.step)
+        prefix = build_claims_prefix(self._spec.trainer, self._spec.step)
         keys = [sample.key for sample in samples]
-        await self._rows.put(f'{prefix}{self._positions:08d}', encode(keys))
-        self._positions += 1
+        await self._writer.insert(
+            f'{prefix}{self._claim_rows:08d}', encode(keys)
+        )
+        self._claim_rows += 1
         self.claims.update(keys)
 
     async def score(self, sample: Sample, attempt: int) -> Sample | None:
@@ -99,24 +101,26 @@
         :returns: the sample with its score, or ``None`` if its call may
             have been made and may not be repeated.
         """
-        name = self._name_call(sample, attempt)
-        wait = FIRST_WAIT
+        name = self._build_call_name(sample, attempt)
+        backoff = INITIAL_BACKOFF
         while True:
-            async with self._calls:
+            async with self._call_slots:
                 answer = await self._scorer.score(name, sample.text)
             if isinstance(answer, Ok):
                 return replace(sample, score=answer.ok_value)
             self._counters.add('scorings_failed', kind=answer.err_value.value)
-            sent = answer.err_value is FaultKind.unanswered
-            if sent and not self._spec.scoring_repeatable:
+            may_have_run = answer.err_value is FaultKind.unanswered
+            if may_have_run and not self._spec.scoring_repeatable:
                 return None
-            await self._clock.sleep(wait)
-            wait = min(wait * 2, MAX_WAIT)
+            await self._clock.sleep(backoff)
+            backoff = min(backoff * 2, MAX_BACKOFF)
 
-    def _name_call(self, sample: Sample, attempt: int) -> str:
+    def _build_call_name(self, sample: Sample, attempt: int) -> str:
         # The text is part of the name: a service that remembers calls by
         # their name would give a sample made again the old text's score.
         digest = hashlib.sha256(sample.text.encode()).hexdigest()
         spec = self._spec
-        place = f'{spec.trainer}/{spec.step}/{sample.group}/{sample.index}'
-        return f'{place}/{attempt}/{digest[:DIGEST_LENGTH]}'
+        sample_path = (
+            f'{spec.trainer}/{spec.step}/{sample.group}/{sample.index}'
+        )
+        return f'{sample_path}/{attempt}/{digest[:DIGEST_LENGTH]}'
--- a/quetzalcourse/coordination/steps/staleness.py
+++ b/quetzalcourse/coordination/steps/staleness.py
@@ -19,10 +19,10 @@
     from quetzalcourse.state.rows import StoreFault
     from quetzalcourse.state.steps import Sample, StepSpec
 
-REFRESH = timedelta(seconds=2)
+REFRESH_INTERVAL = timedelta(seconds=2)
 
 
-def find_oldest_allowed(spec: StepSpec, newest: int) -> int:
+def find_oldest_allowed_version(spec: StepSpec, newest: int) -> int:
     """Tell the oldest version whose tokens a step may still deliver.
 
     :param newest: newest version that is known of the step's model.
@@ -53,23 +53,25 @@
 def is_labelled(sample: Sample) -> bool:
     """Tell whether named versions cover every token of a sample."""
     expected = 0
-    for part in sample.versions:
-        if part.weight_version < 1 or part.start != expected:
+    for version_range in sample.versions:
+        if version_range.weight_version < 1 or version_range.start != expected:
             return False
-        expected = part.end
+        expected = version_range.end
     return bool(sample.versions) and expected == sample.token_count
 
 
-def find_oldest(versions: Iterable[VersionRange]) -> int:
+def find_oldest_version(versions: Iterable[VersionRange]) -> int:
     """Tell the oldest version among ranges, zero if there are none."""
-    return min((part.weight_version for part in versions), default=0)
+    return min(
+        (version_range.weight_version for version_range in versions), default=0
+    )
 
 
 def is_deliverable(sample: Sample, oldest_allowed: int) -> bool:
     """Tell whether a sample is labelled and new enough."""
     if not is_labelled(sample):
         return False
-    return find_oldest(sample.versions) >= oldest_allowed
+    return find_oldest_version(sample.versions) >= oldest_allowed
 
 
 class NewestVersions:
@@ -82,20 +84,20 @@
         """Begin without knowledge."""
         self._store = store
         self._clock = clock
-        self._known: dict[str, int] = {}
-        self._answered: dict[str, timedelta] = {}
+        self._versions: dict[str, int] = {}
+        self._refreshed_at: dict[str, timedelta] = {}
         self._locks: dict[str, asyncio.Lock] = {}
 
     def get_cached(self, model: str) -> int:
         """Tell the newest version heard of, without asking."""
-        return self._known.get(model, 0)
+        return self._versions.get(model, 0)
 
     def observe(self, model: str, version: int) -> None:
         """Take note of a version that somebody named."""
         if version > self.get_cached(model):
-            self._known[model] = version
+            self._versions[model] = version
 
-    async def find(self, model: str) -> Result[int, StoreFault]:
+    async def fetch(self, model: str) -> Result[int, StoreFault]:
         """Tell the newest version as it was at most :data:`REFRESH` ago.
 
         The weight store limits its rate, so that one question at a time is
@@ -105,11 +107,11 @@
         """
         async with self._locks.setdefault(model, asyncio.Lock()):
             now = self._clock.elapsed()
-            answered = self._answered.get(model)
-            if answered is None or now - answered >= REFRESH:
+            refreshed_at = self._refreshed_at.get(model)
+            if refreshed_at is None or now - refreshed_at >= REFRESH_INTERVAL:
                 answer = await self._store.newest(model)
                 if isinstance(answer, Err):
                     return answer
-                self._answered[model] = now
+                self._refreshed_at[model] = now
                 self.observe(model, answer.ok_value)
         return Ok(self.get_cached(model))
--- a/quetzalcourse/coordination/steps/step_assembly.py
+++ b/quetzalcourse/coordination/steps/step_assembly.py
@@ -4,13 +4,6 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from quetzalcourse.coordination.steps.delivery_counts import DeliveryCounts
-from quetzalcourse.coordination.steps.dispatch_order import LengthEstimator
-from quetzalcourse.coordination.steps.dispatching import (
-    DispatchParts,
-    MakingBudget,
-    RescuePlan,
-)
 from quetzalcourse.coordination.ports import (
     Generator,
     MemberView,
@@ -19,11 +12,18 @@
     Table,
     WeightStore,
 )
+from quetzalcourse.coordination.steps.delivery_metrics import DeliveryMetrics
+from quetzalcourse.coordination.steps.dispatch_order import LengthEstimator
+from quetzalcourse.coordination.steps.dispatcher import (
+    ConcurrencyBudget,
+    DispatchParts,
+    MitigationPlanner,
+)
 from quetzalcourse.coordination.steps.staleness import NewestVersions
 from quetzalcourse.coordination.steps.step_delivery import StepDelivery
 from quetzalcourse.coordination.steps.step_runner import RunParts
 from quetzalcourse.coordination.steps.step_service import StepService
-from quetzalcourse.coordination.steps.stragglers import plan_rescues
+from quetzalcourse.coordination.steps.stragglers import plan_mitigations
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.service_levels.service_levels import (
@@ -49,7 +49,7 @@
     levels: ServiceLevels,
     members: MemberView,
     lengths: LengthEstimator | None = None,
-    plan: RescuePlan = plan_rescues,
+    plan: MitigationPlanner = plan_mitigations,
 ) -> StepService:
     """Build everything that serves training steps.
 
@@ -59,18 +59,18 @@
     :param plan: chooses the stragglers to help.
     """
     newest = NewestVersions(platform, clock)
-    counts = DeliveryCounts(clock, counters, levels)
+    metrics = DeliveryMetrics(clock, counters, levels)
     parts = RunParts(
         platform,
         platform,
-        StepDelivery(platform, newest, counts),
+        StepDelivery(platform, newest, metrics),
         DispatchParts(
             generation,
             clock,
             counters,
             newest,
             lengths or LengthEstimator(),
-            MakingBudget(),
+            ConcurrencyBudget(),
             plan,
         ),
         members.own.incarnation,
--- a/quetzalcourse/coordination/steps/step_delivery.py
+++ b/quetzalcourse/coordination/steps/step_delivery.py
@@ -9,22 +9,24 @@
 
 from quetzalcourse.coordination.steps.delivery_rules import (
     check_cursor,
-    present,
-    refuse_beyond,
+    omit_dropped,
     refuse_cancelled,
+    refuse_unread_cursor,
     seal_batch,
 )
-from quetzalcourse.coordination.steps.staleness import find_oldest_allowed
+from quetzalcourse.coordination.steps.staleness import (
+    find_oldest_allowed_version,
+)
 from quetzalcourse.coordination.steps.step_rows import (
+    build_batch_key,
+    build_claims_prefix,
+    build_delivery_key,
+    build_log_prefix,
     decode,
     encode,
-    expect_row,
-    name_batch,
-    name_claims,
-    name_delivery,
-    name_log,
-    refuse_store,
-    refuse_unknown,
+    refuse_store_unavailable,
+    refuse_unknown_step,
+    require_unchanged,
 )
 from quetzalcourse.state.rows import Transaction, Write
 from quetzalcourse.state.steps import (
@@ -36,15 +38,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from quetzalcourse.coordination.steps.delivery_counts import DeliveryCounts
     from quetzalcourse.coordination.ports import Table
+    from quetzalcourse.coordination.steps.delivery_metrics import (
+        DeliveryMetrics,
+    )
     from quetzalcourse.coordination.steps.staleness import NewestVersions
     from quetzalcourse.state.refusal import Refusal
     from quetzalcourse.state.rows import Row
     from quetzalcourse.state.steps import StepSpec
 
-READ_BATCHES = 8
-MAX_TRIES = 5
+MAX_BATCHES_PER_READ = 8
+MAX_ATTEMPTS = 5
 
 
 class StepDelivery:
@@ -55,21 +59,21 @@
     same bytes again, and a sample that was left out may be made again.
 
     :param newest: tells the newest weight versions.
-    :param counts: told of everything that is delivered.
+    :param metrics: told of everything that is delivered.
     """
 
     def __init__(
         self,
         table: Table,
         newest: NewestVersions,
-        counts: DeliveryCounts,
+        metrics: DeliveryMetrics,
     ) -> None:
         """Keep the parts that a reading needs."""
         self._table = table
         self._newest = newest
-        self._counts = counts
+        self._metrics = metrics
 
-    async def find(
+    async def get_record(
         self,
         spec: StepSpec,
     ) -> Result[DeliveryRecord, Refusal]:
@@ -88,7 +92,7 @@
         :param cursor: position of the first batch wanted.
         :returns: the same batches however often they are read.
         """
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._load(spec)
             if isinstance(answer, Err):
                 return answer
@@ -97,21 +101,21 @@
             refusal = check_cursor(record, cursor)
             if refusal is not None:
                 return Err(refusal)
-            scanned = await self._scan(spec, cursor)
+            scanned = await self._scan_batches(spec, cursor)
             if isinstance(scanned, Err):
                 return scanned
             batches = scanned.ok_value
-            judged = await self._seal(spec, record, batches)
-            if isinstance(judged, Err):
-                return judged
-            sealed = judged.ok_value
-            given = [present(batch, sealed) for batch in batches]
+            seal_result = await self._seal(spec, record, batches)
+            if isinstance(seal_result, Err):
+                return seal_result
+            sealed = seal_result.ok_value
+            delivered = [omit_dropped(batch, sealed) for batch in batches]
             if sealed is record:
-                return Ok(given)
-            if await self._replace(row, sealed):
-                self._counts.on_sealed(spec, record, sealed, given)
-                return Ok(given)
-        return Err(refuse_store())
+                return Ok(delivered)
+            if await self._replace_record(row, sealed):
+                self._metrics.record_delivery(spec, record, sealed, delivered)
+                return Ok(delivered)
+        return Err(refuse_store_unavailable())
 
     async def acknowledge(
         self,
@@ -125,7 +129,7 @@
 
         def change(record: DeliveryRecord) -> Result[DeliveryRecord, Refusal]:
             if cursor > record.sealed:
-                return Err(refuse_beyond(cursor, record.sealed))
+                return Err(refuse_unread_cursor(cursor, record.sealed))
             if record.cancelled:
                 return Err(refuse_cancelled())
             reached = max(cursor, record.acknowledged)
@@ -147,8 +151,8 @@
 
         What is left after a fault is deleted by the next call.
         """
-        for name in (name_log, name_claims):
-            rows = await self._table.scan(name(spec.trainer, spec.step))
+        for build_prefix in (build_log_prefix, build_claims_prefix):
+            rows = await self._table.scan(build_prefix(spec.trainer, spec.step))
             if isinstance(rows, Ok) and rows.ok_value:
                 writes = [Write(row.key, None) for row in rows.ok_value]
                 await self._table.transact(Transaction((), tuple(writes)))
@@ -158,7 +162,7 @@
         spec: StepSpec,
         change: Callable[[DeliveryRecord], Result[DeliveryRecord, Refusal]],
     ) -> Result[DeliveryRecord, Refusal]:
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._load(spec)
             if isinstance(answer, Err):
                 return answer
@@ -166,30 +170,32 @@
             changed = change(record)
             if isinstance(changed, Err) or changed.ok_value == record:
                 return changed
-            if await self._replace(answer.ok_value, changed.ok_value):
+            if await self._replace_record(answer.ok_value, changed.ok_value):
                 return changed
-        return Err(refuse_store())
+        return Err(refuse_store_unavailable())
 
     async def _load(self, spec: StepSpec) -> Result[Row, Refusal]:
-        answer = await self._table.read(name_delivery(spec.trainer, spec.step))
+        answer = await self._table.read(
+            build_delivery_key(spec.trainer, spec.step)
+        )
         if isinstance(answer, Err):
-            return Err(refuse_store(answer.err_value))
+            return Err(refuse_store_unavailable(answer.err_value))
         if answer.ok_value is None:
-            return Err(refuse_unknown(spec.trainer, spec.step))
+            return Err(refuse_unknown_step(spec.trainer, spec.step))
         return Ok(answer.ok_value)
 
-    async def _scan(
+    async def _scan_batches(
         self,
         spec: StepSpec,
         cursor: int,
     ) -> Result[list[StepBatch], Refusal]:
         trainer, step = spec.trainer, spec.step
-        after = name_batch(trainer, step, cursor - 1) if cursor else ''
+        after = build_batch_key(trainer, step, cursor - 1) if cursor else ''
         answer = await self._table.scan(
-            name_log(trainer, step), after, READ_BATCHES
+            build_log_prefix(trainer, step), after, MAX_BATCHES_PER_READ
         )
         if isinstance(answer, Err):
-            return Err(refuse_store(answer.err_value))
+            return Err(refuse_store_unavailable(answer.err_value))
         return Ok([decode(row, StepBatch) for row in answer.ok_value])
 
     async def _seal(
@@ -198,24 +204,26 @@
         record: DeliveryRecord,
         batches: Sequence[StepBatch],
     ) -> Result[DeliveryRecord, Refusal]:
-        fresh = [batch for batch in batches if batch.position >= record.sealed]
-        if not fresh:
+        unsealed = [
+            batch for batch in batches if batch.position >= record.sealed
+        ]
+        if not unsealed:
             return Ok(record)
         # Without knowing the newest version, a sample could be delivered
         # that is too old already; the trainer is asked to come back.
-        newest = await self._newest.find(spec.model)
+        newest = await self._newest.fetch(spec.model)
         if isinstance(newest, Err):
-            return Err(refuse_store(newest.err_value))
-        oldest = find_oldest_allowed(spec, newest.ok_value)
+            return Err(refuse_store_unavailable(newest.err_value))
+        oldest = find_oldest_allowed_version(spec, newest.ok_value)
         sealed = record
-        for batch in fresh:
+        for batch in unsealed:
             sealed = seal_batch(sealed, batch, oldest, spec.total)
         return Ok(sealed)
 
-    async def _replace(self, row: Row, record: DeliveryRecord) -> bool:
+    async def _replace_record(self, row: Row, record: DeliveryRecord) -> bool:
         answer = await self._table.transact(
             Transaction(
-                (expect_row(row.key, row),),
+                (require_unchanged(row.key, row),),
                 (Write(row.key, encode(record)),),
             )
         )
--- a/quetzalcourse/coordination/steps/step_lease.py
+++ b/quetzalcourse/coordination/steps/step_lease.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from quetzalcourse.coordination.leases.lease import Lease, decode_record
-from quetzalcourse.coordination.steps.step_rows import StepLostError
+from quetzalcourse.coordination.steps.step_rows import StepLeaseLostError
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import Table
@@ -62,7 +62,7 @@
             return
         row = answer.ok_value
         if row is None or decode_record(row).token != self.token:
-            raise StepLostError('Another daemon runs the step.')
+            raise StepLeaseLostError('Another daemon runs the step.')
 
     async def release(self) -> None:
         """Give the lease up, unless it is another holder's by now."""
--- a/quetzalcourse/coordination/steps/step_log.py
+++ b/quetzalcourse/coordination/steps/step_log.py
@@ -7,11 +7,11 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.steps.step_rows import (
+    build_batch_key,
+    build_log_prefix,
+    build_open_key,
     decode,
     encode,
-    name_batch,
-    name_log,
-    name_open,
 )
 from quetzalcourse.state.rows import Write
 from quetzalcourse.state.steps import (
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from quetzalcourse.coordination.steps.leased_rows import LeasedRows
     from quetzalcourse.coordination.ports import Table
+    from quetzalcourse.coordination.steps.fenced_writer import FencedWriter
     from quetzalcourse.state.rows import StoreFault
     from quetzalcourse.state.steps import RunReport, StepSpec
 
@@ -38,27 +38,32 @@
     The holder loads the whole log before it writes, and every write
     requires the lease's row, so that no two holders commit one sample.
 
-    :param rows: writes under the lease on the step.
+    :param writer: writes under the lease on the step.
     """
 
-    def __init__(self, table: Table, rows: LeasedRows, spec: StepSpec) -> None:
+    def __init__(
+        self,
+        table: Table,
+        writer: FencedWriter,
+        spec: StepSpec,
+    ) -> None:
         """Begin with nothing loaded."""
         self.positions = 0
         self.committed: dict[SampleKey, int] = {}
         self._table = table
-        self._rows = rows
+        self._writer = writer
         self._spec = spec
 
     async def load(self) -> Result[None, StoreFault]:
         """Read every batch that earlier holders committed."""
-        prefix = name_log(self._spec.trainer, self._spec.step)
+        prefix = build_log_prefix(self._spec.trainer, self._spec.step)
         after = ''
         while True:
             answer = await self._table.scan(prefix, after, SCAN_LIMIT)
             if isinstance(answer, Err):
                 return answer
             for row in answer.ok_value:
-                self._take(decode(row, StepBatch))
+                self._record_batch(decode(row, StepBatch))
                 after = row.key
             if len(answer.ok_value) < SCAN_LIMIT:
                 return Ok(None)
@@ -88,8 +93,10 @@
         :raises StepLostError: if another holder took over.
         """
         batch = StepBatch(self.positions, samples)
-        await self._rows.put(*self._name(batch), self._write_report(report))
-        self._take(batch)
+        await self._writer.insert(
+            *self._build_row(batch), self._build_report_write(report)
+        )
+        self._record_batch(batch)
 
     async def try_append(
         self,
@@ -98,20 +105,20 @@
     ) -> bool:
         """Commit samples with one try, before the run ends."""
         batch = StepBatch(self.positions, samples)
-        return await self._rows.try_put(
-            *self._name(batch), self._write_report(report)
+        return await self._writer.try_insert(
+            *self._build_row(batch), self._build_report_write(report)
         )
 
-    def _name(self, batch: StepBatch) -> tuple[str, bytes]:
+    def _build_row(self, batch: StepBatch) -> tuple[str, bytes]:
         spec = self._spec
-        key = name_batch(spec.trainer, spec.step, batch.position)
+        key = build_batch_key(spec.trainer, spec.step, batch.position)
         return key, encode(batch)
 
-    def _write_report(self, report: RunReport) -> Write:
-        key = name_open(self._spec.trainer, self._spec.step)
+    def _build_report_write(self, report: RunReport) -> Write:
+        key = build_open_key(self._spec.trainer, self._spec.step)
         return Write(key, encode(report))
 
-    def _take(self, batch: StepBatch) -> None:
+    def _record_batch(self, batch: StepBatch) -> None:
         self.positions = batch.position + 1
         for sample in batch.samples:
             self.committed[sample.key] = batch.position
--- a/quetzalcourse/coordination/steps/step_directory.py
+++ b/quetzalcourse/coordination/steps/step_registry.py
@@ -10,14 +10,14 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.steps.step_rows import (
+    build_delivery_key,
+    build_open_key,
+    build_prompts_name,
+    build_step_key,
     decode,
     encode,
-    name_delivery,
-    name_open,
-    name_prompts,
-    name_step,
-    refuse_store,
-    refuse_unknown,
+    refuse_store_unavailable,
+    refuse_unknown_step,
 )
 from quetzalcourse.state.rows import ABSENT, Condition, Transaction, Write
 from quetzalcourse.state.steps import DeliveryRecord, RunReport, StepSpec
@@ -27,10 +27,10 @@
     from quetzalcourse.state.refusal import Refusal
     from quetzalcourse.state.rows import Commit, StoreFault
 
-REMEMBERED_STEPS = 1024
+MAX_CACHED_STEPS = 1024
 
 
-class StepDirectory:
+class StepRegistry:
     """Writes and reads steps and their prompts.
 
     :param objects: holds the prompts, under their hash.
@@ -42,24 +42,24 @@
         self._objects = objects
         self._specs: OrderedDict[str, StepSpec] = OrderedDict()
 
-    async def find(
+    async def get(
         self,
         trainer: str,
         step: int,
     ) -> Result[StepSpec, Refusal]:
         """Read a step, which never changes once it was created."""
-        key = name_step(trainer, step)
-        known = self._specs.get(key)
-        if known is not None:
-            return Ok(known)
+        key = build_step_key(trainer, step)
+        cached = self._specs.get(key)
+        if cached is not None:
+            return Ok(cached)
         answer = await self._table.read(key)
         if isinstance(answer, Err):
-            return Err(refuse_store(answer.err_value))
+            return Err(refuse_store_unavailable(answer.err_value))
         if answer.ok_value is None:
-            return Err(refuse_unknown(trainer, step))
+            return Err(refuse_unknown_step(trainer, step))
         spec = decode(answer.ok_value, StepSpec)
         self._specs[key] = spec
-        if len(self._specs) > REMEMBERED_STEPS:
+        if len(self._specs) > MAX_CACHED_STEPS:
             self._specs.popitem(last=False)
         return Ok(spec)
 
@@ -73,7 +73,7 @@
         :returns: the step with the name of its prompts.
         """
         content = encode(prompts)
-        name = name_prompts(content)
+        name = build_prompts_name(content)
         stored = await self._objects.put(name, content)
         return stored.map(lambda _: replace(spec, prompts_name=name))
 
@@ -84,19 +84,20 @@
             return None
         return msgspec.json.decode(answer.ok_value, type=tuple[str, ...])
 
-    async def write(self, spec: StepSpec) -> Result[Commit, StoreFault]:
+    async def insert(self, spec: StepSpec) -> Result[Commit, StoreFault]:
         """Write the rows of a step, if there is none of its number."""
         trainer, step = spec.trainer, spec.step
-        key = name_step(trainer, step)
+        key = build_step_key(trainer, step)
         return await self._table.transact(
             Transaction(
                 (Condition(key, ABSENT),),
                 (
                     Write(key, encode(spec)),
                     Write(
-                        name_delivery(trainer, step), encode(DeliveryRecord())
+                        build_delivery_key(trainer, step),
+                        encode(DeliveryRecord()),
                     ),
-                    Write(name_open(trainer, step), encode(RunReport())),
+                    Write(build_open_key(trainer, step), encode(RunReport())),
                 ),
             )
         )
--- a/quetzalcourse/coordination/steps/step_rows.py
+++ b/quetzalcourse/coordination/steps/step_rows.py
@@ -17,55 +17,55 @@
 
 Content = TypeVar('Content')
 OPEN_PREFIX = 'steps-open/'
-STORE_RETRY = timedelta(seconds=2)
+STORE_RETRY_AFTER = timedelta(seconds=2)
 
 
-class StepLostError(QuetzalcourseError):
+class StepLeaseLostError(QuetzalcourseError):
     """End of a run whose step another daemon has taken over."""
 
 
-def name_step(trainer: str, step: int) -> str:
+def build_step_key(trainer: str, step: int) -> str:
     """Name the row of a step."""
     return f'step/{trainer}/{step:012d}'
 
 
-def name_open(trainer: str, step: int) -> str:
+def build_open_key(trainer: str, step: int) -> str:
     """Name the row that lists a step among the open ones."""
     return f'{OPEN_PREFIX}{trainer}/{step:012d}'
 
 
-def parse_open(key: str) -> tuple[str, int]:
+def parse_open_key(key: str) -> tuple[str, int]:
     """Read trainer and step from the name of an open step's row."""
     trainer, _, step = key.removeprefix(OPEN_PREFIX).rpartition('/')
     return trainer, int(step)
 
 
-def name_lease(trainer: str, step: int) -> str:
+def build_lease_key(trainer: str, step: int) -> str:
     """Name the row of the lease on a step."""
     return f'lease/step/{trainer}/{step:012d}'
 
 
-def name_delivery(trainer: str, step: int) -> str:
+def build_delivery_key(trainer: str, step: int) -> str:
     """Name the row that says what the trainer was given."""
     return f'step-delivery/{trainer}/{step:012d}'
 
 
-def name_log(trainer: str, step: int) -> str:
+def build_log_prefix(trainer: str, step: int) -> str:
     """Name what the rows of a step's log begin with."""
     return f'step-log/{trainer}/{step:012d}/'
 
 
-def name_batch(trainer: str, step: int, position: int) -> str:
+def build_batch_key(trainer: str, step: int, position: int) -> str:
     """Name the row of a batch of a step's log."""
-    return f'{name_log(trainer, step)}{position:08d}'
+    return f'{build_log_prefix(trainer, step)}{position:08d}'
 
 
-def name_claims(trainer: str, step: int) -> str:
+def build_claims_prefix(trainer: str, step: int) -> str:
     """Name what the rows of a step's scoring claims begin with."""
     return f'step-claim/{trainer}/{step:012d}/'
 
 
-def name_prompts(content: bytes) -> str:
+def build_prompts_name(content: bytes) -> str:
     """Name the object that holds prompts, by their hash."""
     return f'prompts/{hashlib.sha256(content).hexdigest()}'
 
@@ -80,24 +80,24 @@
     return msgspec.json.decode(row.content, type=kind)
 
 
-def expect_row(key: str, row: Row | None) -> Condition:
+def require_unchanged(key: str, row: Row | None) -> Condition:
     """Require that a row is still as it was read."""
     return Condition(key, row.version if row else ABSENT)
 
 
-def refuse_store(fault: StoreFault | None = None) -> Refusal:
+def refuse_store_unavailable(fault: StoreFault | None = None) -> Refusal:
     """Refuse because the platform's store gave no answer."""
     return Refusal(
         RefusalCode.store_unavailable,
         "The platform's store gave no answer; ask again.",
         not_run=False,
-        retry_after=STORE_RETRY,
+        retry_after=STORE_RETRY_AFTER,
         step=fault.step if fault else 'step',
         peer=fault.peer if fault else 'table',
     )
 
 
-def refuse_unknown(trainer: str, step: int) -> Refusal:
+def refuse_unknown_step(trainer: str, step: int) -> Refusal:
     """Refuse because there is no such step."""
     return Refusal(
         RefusalCode.not_found,
--- a/quetzalcourse/coordination/steps/step_runner.py
+++ b/quetzalcourse/coordination/steps/step_runner.py
@@ -9,15 +9,15 @@
 
 from result import Ok, Result
 
-from quetzalcourse.coordination.steps.dispatching import (
+from quetzalcourse.coordination.steps.dispatcher import (
     Dispatcher,
     DispatchParts,
 )
-from quetzalcourse.coordination.steps.leased_rows import LeasedRows
+from quetzalcourse.coordination.steps.fenced_writer import FencedWriter
 from quetzalcourse.coordination.steps.sample_pipeline import SamplePipeline
 from quetzalcourse.coordination.steps.scoring import StepScoring
 from quetzalcourse.coordination.steps.step_log import StepLog
-from quetzalcourse.coordination.steps.step_rows import encode, name_open
+from quetzalcourse.coordination.steps.step_rows import build_open_key, encode
 from quetzalcourse.log import bind_log
 from quetzalcourse.state.rows import Transaction, Write
 from quetzalcourse.state.steps import DeliveryRecord, RunReport
@@ -35,9 +35,9 @@
 Problem = TypeVar('Problem')
 RENEW_INTERVAL = timedelta(seconds=2)
 WATCH_INTERVAL = timedelta(seconds=2)
-TELL_INTERVAL = timedelta(seconds=10)
-LOAD_RETRY = timedelta(seconds=1)
-CLOSE_TRIES = 5
+PROGRESS_INTERVAL = timedelta(seconds=10)
+RETRY_INTERVAL = timedelta(seconds=1)
+MAX_CLOSE_ATTEMPTS = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,12 +74,12 @@
         self._spec = spec
         self._clock = clock
         self._lease = lease
-        self._told = clock.elapsed()
+        self._progress_written_at = clock.elapsed()
         table = parts.table
-        rows = LeasedRows(table, lease, clock)
-        self._log = StepLog(table, rows, spec)
+        writer = FencedWriter(table, lease, clock)
+        self._log = StepLog(table, writer, spec)
         self._scoring = StepScoring(
-            table, rows, parts.scorer, clock, counters, spec
+            table, writer, parts.scorer, clock, counters, spec
         )
         self._dispatcher = Dispatcher(
             parts.dispatch,
@@ -96,7 +96,7 @@
             self._dispatcher,
             self.report,
         )
-        self._dispatcher.feed(self._pipeline)
+        self._dispatcher.attach_sink(self._pipeline)
 
     async def run(self) -> None:
         """Run the step until it is whole, cancelled or another daemon's.
@@ -109,7 +109,7 @@
             missing = set(self._spec.list_keys()) - set(self._log.committed)
             self._dispatcher.attempts = self._scoring.claims.copy()
             self._dispatcher.add(sorted(missing))
-            record = await self._work()
+            record = await self._run_tasks()
         await self._close(record)
 
     def report(self) -> RunReport:
@@ -127,13 +127,13 @@
         )
 
     async def _load(self) -> DeliveryRecord:
-        await self._insist(self._log.load)
-        await self._insist(self._scoring.load)
-        record = await self._insist(self._find_delivery)
+        await self._retry(self._log.load)
+        await self._retry(self._scoring.load)
+        record = await self._retry(self._find_delivery)
         self._log.drop(record.dropped)
         return record
 
-    async def _insist(
+    async def _retry(
         self,
         load: Callable[[], Awaitable[Result[Loaded, Problem]]],
     ) -> Loaded:
@@ -142,39 +142,39 @@
             if isinstance(answer, Ok):
                 return answer.ok_value
             await self._lease.renew()
-            await self._clock.sleep(LOAD_RETRY)
+            await self._clock.sleep(RETRY_INTERVAL)
 
     async def _find_delivery(self) -> Result[DeliveryRecord, Refusal]:
-        return await self._parts.delivery.find(self._spec)
+        return await self._parts.delivery.get_record(self._spec)
 
-    async def _work(self) -> DeliveryRecord:
+    async def _run_tasks(self) -> DeliveryRecord:
         loop = asyncio.get_running_loop()
         watch = loop.create_task(self._watch())
-        parts = [
+        workers = [
             self._renew,
             self._pipeline.commit,
             self._dispatcher.dispatch,
-            self._dispatcher.rescue,
+            self._dispatcher.mitigate_stragglers,
         ]
         if self._spec.scored:
-            parts.append(self._pipeline.score)
-        tasks = [loop.create_task(part()) for part in parts]
+            workers.append(self._pipeline.score)
+        tasks = [loop.create_task(worker()) for worker in workers]
         try:
             await asyncio.wait(
                 (watch, *tasks), return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            await self._end((watch, *tasks))
+            await self._stop_tasks((watch, *tasks))
         for task in tasks:
             if not task.cancelled():
                 task.result()
         return watch.result()
 
-    async def _end(self, tasks: tuple[asyncio.Future, ...]) -> None:
+    async def _stop_tasks(self, tasks: tuple[asyncio.Future, ...]) -> None:
         await self._dispatcher.stop()
         await cancel_all(tasks)
         await self._pipeline.stop()
-        self._publish()
+        self._publish_metrics()
 
     async def _renew(self) -> None:
         while True:
@@ -184,19 +184,21 @@
     async def _watch(self) -> DeliveryRecord:
         seen = 0
         while True:
-            await self._parts.dispatch.newest.find(self._spec.model)
+            await self._parts.dispatch.newest.fetch(self._spec.model)
             answer = await self._find_delivery()
             if isinstance(answer, Ok):
                 record = answer.ok_value
                 if record.closed:
                     return record
-                self._dispatcher.remake(self._log.drop(record.dropped[seen:]))
+                self._dispatcher.regenerate(
+                    self._log.drop(record.dropped[seen:])
+                )
                 seen = len(record.dropped)
-            self._publish()
-            await self._tell_progress()
+            self._publish_metrics()
+            await self._write_progress()
             await self._clock.sleep(WATCH_INTERVAL)
 
-    def _publish(self) -> None:
+    def _publish_metrics(self) -> None:
         report = self.report()
         states = {
             'backlog': report.backlog,
@@ -211,15 +213,17 @@
                 'step_samples', count, trainer=self._spec.trainer, state=state
             )
 
-    async def _tell_progress(self) -> None:
+    async def _write_progress(self) -> None:
         # Each commit says how the run stands. A run that commits nothing is
         # the one whose reasons people look for, so it speaks up as well.
         now = self._clock.elapsed()
-        told = max(self._told, self._pipeline.committed_at)
-        if now - told < TELL_INTERVAL:
+        written_at = max(
+            self._progress_written_at, self._pipeline.last_commit_at
+        )
+        if now - written_at < PROGRESS_INTERVAL:
             return
-        self._told = now
-        key = name_open(self._spec.trainer, self._spec.step)
+        self._progress_written_at = now
+        key = build_open_key(self._spec.trainer, self._spec.step)
         await self._parts.table.transact(
             Transaction(
                 (self._lease.require(),),
@@ -231,16 +235,19 @@
         spec = self._spec
         if record.cancelled or record.finished:
             await self._parts.delivery.clear(spec)
-        gone = (name_open(spec.trainer, spec.step), *self._lease.keys)
+        deleted_keys = (
+            build_open_key(spec.trainer, spec.step),
+            *self._lease.keys,
+        )
         closing = Transaction(
             (self._lease.require(),),
-            tuple(Write(key, None) for key in gone),
+            tuple(Write(key, None) for key in deleted_keys),
         )
-        for _ in range(CLOSE_TRIES):
+        for _ in range(MAX_CLOSE_ATTEMPTS):
             answer = await self._parts.table.transact(closing)
             if isinstance(answer, Ok):
                 return
-            await self._clock.sleep(LOAD_RETRY)
+            await self._clock.sleep(RETRY_INTERVAL)
 
     def _find_deadline(self) -> timedelta:
         spec = self._spec
--- a/quetzalcourse/coordination/steps/step_service.py
+++ b/quetzalcourse/coordination/steps/step_service.py
@@ -9,17 +9,17 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.steps.step_directory import StepDirectory
 from quetzalcourse.coordination.steps.step_lease import StepLease
+from quetzalcourse.coordination.steps.step_registry import StepRegistry
 from quetzalcourse.coordination.steps.step_rows import (
     OPEN_PREFIX,
-    StepLostError,
+    StepLeaseLostError,
+    build_lease_key,
+    build_open_key,
+    build_step_key,
     decode,
-    name_lease,
-    name_open,
-    name_step,
-    parse_open,
-    refuse_store,
+    parse_open_key,
+    refuse_store_unavailable,
 )
 from quetzalcourse.coordination.steps.step_runner import StepRunner, cancel_all
 from quetzalcourse.coordination.steps.watchers import is_watcher
@@ -38,11 +38,11 @@
     from quetzalcourse.coordination.ports import MemberView, Objects
     from quetzalcourse.coordination.steps.step_runner import RunParts
 
-STEP_TERMS = LeaseTerms(timedelta(seconds=6), timedelta(seconds=1))
+STEP_LEASE_TERMS = LeaseTerms(timedelta(seconds=6), timedelta(seconds=1))
 SCAN_INTERVAL = timedelta(seconds=2)
-WATCH_INTERVAL = timedelta(seconds=1)
-OPEN_LOOKS = 5
-SCANNED = 'open steps'
+LEASE_POLL_INTERVAL = timedelta(seconds=1)
+ATTEMPTS_PER_OPEN_CHECK = 5
+OPEN_STEPS_WORK = 'open steps'
 log = get_log('steps')
 
 
@@ -63,7 +63,7 @@
         """Begin with no step running."""
         self._parts = parts
         self._table = parts.table
-        self._directory = StepDirectory(parts.table, objects)
+        self._registry = StepRegistry(parts.table, objects)
         self._members = members
         self._clock = parts.dispatch.clock
         self._delivery = parts.delivery
@@ -81,19 +81,19 @@
         :param prompts: a prompt for each group.
         :returns: the step as it is stored.
         """
-        stored = await self._directory.put_prompts(spec, prompts)
+        stored = await self._registry.put_prompts(spec, prompts)
         if isinstance(stored, Err):
-            return Err(refuse_store(stored.err_value))
+            return Err(refuse_store_unavailable(stored.err_value))
         spec = stored.ok_value
-        written = await self._directory.write(spec)
+        written = await self._registry.insert(spec)
         if isinstance(written, Ok) and written.ok_value.applied:
             self._start(spec)
             return Ok(spec)
         # Either the step was there before, or the answer was lost and the
         # step may be there now: what is stored decides.
-        found = await self._directory.find(spec.trainer, spec.step)
+        found = await self._registry.get(spec.trainer, spec.step)
         if isinstance(found, Err):
-            return Err(refuse_store())
+            return Err(refuse_store_unavailable())
         if found.ok_value.body_digest != spec.body_digest:
             return Err(_refuse_conflict(spec))
         if isinstance(written, Err):
@@ -110,7 +110,7 @@
 
         :param cursor: position of the first batch wanted.
         """
-        found = await self._directory.find(trainer, step)
+        found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
         return await self._delivery.read(found.ok_value, cursor)
@@ -122,7 +122,7 @@
         cursor: int,
     ) -> Result[DeliveryRecord, Refusal]:
         """Note that the trainer keeps the batches before a cursor."""
-        found = await self._directory.find(trainer, step)
+        found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
         return await self._delivery.acknowledge(found.ok_value, cursor)
@@ -133,7 +133,7 @@
         step: int,
     ) -> Result[DeliveryRecord, Refusal]:
         """Give a step up; its runner ends it within seconds."""
-        found = await self._directory.find(trainer, step)
+        found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
         return await self._delivery.cancel(found.ok_value)
@@ -144,16 +144,16 @@
         step: int,
     ) -> Result[StepProgress, Refusal]:
         """Tell how far a step is, whichever daemon runs it."""
-        found = await self._directory.find(trainer, step)
+        found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
         spec = found.ok_value
-        delivery = await self._delivery.find(spec)
+        delivery = await self._delivery.get_record(spec)
         if isinstance(delivery, Err):
             return delivery
-        run = await self._table.read(name_open(trainer, step))
+        run = await self._table.read(build_open_key(trainer, step))
         if isinstance(run, Err):
-            return Err(refuse_store(run.err_value))
+            return Err(refuse_store_unavailable(run.err_value))
         return Ok(
             StepProgress(
                 trainer,
@@ -168,7 +168,7 @@
     async def adopt_orphaned_steps(self) -> None:
         """Take over steps that nobody runs, for as long as it is awaited."""
         while True:
-            if is_watcher(self._members, SCANNED):
+            if is_watcher(self._members, OPEN_STEPS_WORK):
                 await self._scan()
             await self._clock.sleep(SCAN_INTERVAL)
 
@@ -182,15 +182,15 @@
         if isinstance(answer, Err):
             return
         for row in answer.ok_value:
-            trainer, step = parse_open(row.key)
-            if name_step(trainer, step) in self._running:
+            trainer, step = parse_open_key(row.key)
+            if build_step_key(trainer, step) in self._running:
                 continue
-            found = await self._directory.find(trainer, step)
+            found = await self._registry.get(trainer, step)
             if isinstance(found, Ok):
                 self._start(found.ok_value)
 
     def _start(self, spec: StepSpec) -> None:
-        key = name_step(spec.trainer, spec.step)
+        key = build_step_key(spec.trainer, spec.step)
         if key in self._running or self._stopping:
             return
         task = asyncio.get_running_loop().create_task(self._run(spec))
@@ -198,44 +198,47 @@
         task.add_done_callback(lambda _: self._running.pop(key, None))
 
     async def _run(self, spec: StepSpec) -> None:
-        line = log.bind(trainer=spec.trainer, step=spec.step)
+        bound_log = log.bind(trainer=spec.trainer, step=spec.step)
         lease = self._build_lease(spec)
         try:
-            if not await self._pursue(spec, lease):
+            if not await self._acquire_lease(spec, lease):
                 return
-            line.info('Step is run here.', token=lease.token)
-            await self._run_held(spec, lease)
-            line.info('Step is closed.')
-        except StepLostError as error:
-            line.warning('Step is run elsewhere.', reason=str(error))
+            bound_log.info('Step is run here.', token=lease.token)
+            await self._run_under_lease(spec, lease)
+            bound_log.info('Step is closed.')
+        except StepLeaseLostError as error:
+            bound_log.warning('Step is run elsewhere.', reason=str(error))
         except Exception as error:
             kind = type(error).__name__
-            line.error('Run of step failed.', kind=kind, reason=str(error))
+            bound_log.error('Run of step failed.', kind=kind, reason=str(error))
             await self._clock.sleep(SCAN_INTERVAL)
 
-    async def _pursue(self, spec: StepSpec, lease: Lease) -> bool:
-        looks = 0
+    async def _acquire_lease(self, spec: StepSpec, lease: Lease) -> bool:
+        attempts = 0
         while not await lease.pursue():
-            await self._clock.sleep(WATCH_INTERVAL)
-            looks += 1
-            if looks % OPEN_LOOKS == 0 and not await self._is_open(spec):
+            await self._clock.sleep(LEASE_POLL_INTERVAL)
+            attempts += 1
+            if (
+                attempts % ATTEMPTS_PER_OPEN_CHECK == 0
+                and not await self._is_open(spec)
+            ):
                 return False
         return True
 
     async def _is_open(self, spec: StepSpec) -> bool:
-        row = await self._table.read(name_open(spec.trainer, spec.step))
+        row = await self._table.read(build_open_key(spec.trainer, spec.step))
         return isinstance(row, Err) or row.ok_value is not None
 
-    async def _run_held(self, spec: StepSpec, lease: Lease) -> None:
-        held = StepLease(self._table, lease)
+    async def _run_under_lease(self, spec: StepSpec, lease: Lease) -> None:
+        step_lease = StepLease(self._table, lease)
         budget = self._parts.dispatch.budget
         budget.steps += 1
         try:
-            prompts = await self._wait_for_prompts(spec, held)
-            await StepRunner(self._parts, spec, prompts, held).run()
+            prompts = await self._wait_for_prompts(spec, step_lease)
+            await StepRunner(self._parts, spec, prompts, step_lease).run()
         finally:
             budget.steps -= 1
-            await held.release()
+            await step_lease.release()
 
     async def _wait_for_prompts(
         self,
@@ -243,7 +246,7 @@
         lease: StepLease,
     ) -> tuple[str, ...]:
         while True:
-            prompts = await self._directory.get_prompts(spec)
+            prompts = await self._registry.get_prompts(spec)
             if prompts is not None:
                 return prompts
             await self._clock.sleep(SCAN_INTERVAL)
@@ -253,9 +256,9 @@
         return Lease(
             self._table,
             self._clock,
-            name_lease(spec.trainer, spec.step),
+            build_lease_key(spec.trainer, spec.step),
             self._parts.incarnation,
-            STEP_TERMS,
+            STEP_LEASE_TERMS,
         )
 
 
--- a/quetzalcourse/coordination/steps/stragglers.py
+++ b/quetzalcourse/coordination/steps/stragglers.py
@@ -14,12 +14,12 @@
 
     from quetzalcourse.state.steps import SampleKey
 
-SLOW_RATIO = 0.7
-STALL = timedelta(seconds=5)
-MIN_TOKENS = 8
+SLOW_ENGINE_RATIO = 0.7
+STALL_TIMEOUT = timedelta(seconds=5)
+MIN_RATE_TOKENS = 8
 
 
-class RescueKind(enum.StrEnum):
+class MitigationKind(enum.StrEnum):
     """How a sample is helped along.
 
     ``move`` ends the stream that lags; ``copy`` lets both run, and the
@@ -36,29 +36,29 @@
 
     :param upstream: name of the engine that its only stream comes from.
     :param tokens: tokens that came from there.
-    :param busy: time in which they came.
-    :param silent: time since the last one.
+    :param generation_time: time in which they came.
+    :param idle_time: time since the last one.
     """
 
     key: SampleKey
     upstream: str
     tokens: int
-    busy: timedelta
-    silent: timedelta
+    generation_time: timedelta
+    idle_time: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class Rescue:
+class Mitigation:
     """Order to go on with a sample elsewhere, behind its last token."""
 
     key: SampleKey
-    kind: RescueKind
+    kind: MitigationKind
 
 
-def plan_rescues(
+def plan_mitigations(
     running: Sequence[RunningSample],
     idle_slots: int,
-) -> list[Rescue]:
+) -> list[Mitigation]:
     """Choose the samples to help, once none is left to begin.
 
     Stalled samples move whether slots are idle or not. Those on an engine
@@ -69,34 +69,35 @@
     :param idle_slots: slots that stood idle when this was asked.
     """
     stalled = [
-        Rescue(sample.key, RescueKind.move)
+        Mitigation(sample.key, MitigationKind.move)
         for sample in running
-        if sample.silent >= STALL
+        if sample.idle_time >= STALL_TIMEOUT
     ]
-    rates = measure_rates(running)
+    rates = measure_token_rates(running)
     if not rates:
         return stalled
-    enough = max(rates.values()) * SLOW_RATIO
+    threshold = max(rates.values()) * SLOW_ENGINE_RATIO
     slow = [
         sample
         for sample in running
-        if sample.silent < STALL and rates.get(sample.upstream, enough) < enough
+        if sample.idle_time < STALL_TIMEOUT
+        and rates.get(sample.upstream, threshold) < threshold
     ]
     slow.sort(key=lambda sample: sample.tokens)
     return stalled + [
-        Rescue(sample.key, RescueKind.copy)
+        Mitigation(sample.key, MitigationKind.copy)
         for sample in slow[: max(0, idle_slots)]
     ]
 
 
-def measure_rates(running: Sequence[RunningSample]) -> dict[str, float]:
+def measure_token_rates(running: Sequence[RunningSample]) -> dict[str, float]:
     """Measure the engines' speeds by the samples that run on them.
 
     :returns: tokens a second of one stream, by the engine's name.
     """
     found: dict[str, list[float]] = defaultdict(list)
     for sample in running:
-        seconds = sample.busy.total_seconds()
-        if sample.tokens >= MIN_TOKENS and seconds > 0:
+        seconds = sample.generation_time.total_seconds()
+        if sample.tokens >= MIN_RATE_TOKENS and seconds > 0:
             found[sample.upstream].append(sample.tokens / seconds)
     return {upstream: median(rates) for upstream, rates in found.items()}
--- a/quetzalcourse/coordination/steps/watchers.py
+++ b/quetzalcourse/coordination/steps/watchers.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import MemberView
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 
 
 def is_watcher(members: MemberView, work: str) -> bool:
@@ -27,7 +27,7 @@
         if not member.leaving
     ]
     watchers = heapq.nlargest(
-        WATCHERS, live, key=lambda incarnation: _rank(work, incarnation)
+        WATCHER_COUNT, live, key=lambda incarnation: _rank(work, incarnation)
     )
     return members.own.incarnation in watchers
 
--- a/quetzalcourse/coordination/usage/usage_counter.py
+++ b/quetzalcourse/coordination/usage/usage_counter.py
@@ -24,7 +24,7 @@
 MAX_WINDOWS = 200
 
 
-def name_kind(upstream: Upstream) -> str:
+def format_kind(upstream: Upstream) -> str:
     """Name the kind of an upstream as reports do."""
     return f'{upstream.kind}-cheap' if upstream.cheap else str(upstream.kind)
 
@@ -69,7 +69,7 @@
         window = name_window(self._clock.now(), self.length)
         window = max(window, self._latest)
         self._latest = window
-        key = UsageKey(client_account, traffic_class, name_kind(upstream))
+        key = UsageKey(client_account, traffic_class, format_kind(upstream))
         entries = self._windows.setdefault(window, {})
         entries[key] = entries.get(key, NOTHING) + figures
         self.generated[traffic_class] += figures.generated_tokens
--- a/quetzalcourse/coordination/usage/usage_replication.py
+++ b/quetzalcourse/coordination/usage/usage_replication.py
@@ -27,13 +27,13 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
 
-COPIES = 2
-WHOLE_EVERY = 12
-KEPT_WINDOWS = 2
+REPLICA_COUNT = 2
+FULL_COPY_ROUNDS = 12
+MAX_COPY_AGE_WINDOWS = 2
 log = get_log('usage')
 
 
-def choose_keepers(own: Member, live: list[Member]) -> list[Member]:
+def choose_replica_peers(own: Member, live: list[Member]) -> list[Member]:
     """Choose the peers that keep a daemon's copies.
 
     One is outside the data centre if there is any, since a data centre can
@@ -47,9 +47,11 @@
             f'{own.incarnation} {member.incarnation}'.encode()
         ),
     )
-    near = [one for one in others if one.data_centre == own.data_centre]
-    far = [one for one in others if one.data_centre != own.data_centre]
-    return [*near[:1], *far[:1], *near[1:], *far[1:]][:COPIES]
+    near = [
+        member for member in others if member.data_centre == own.data_centre
+    ]
+    far = [member for member in others if member.data_centre != own.data_centre]
+    return [*near[:1], *far[:1], *near[1:], *far[1:]][:REPLICA_COUNT]
 
 
 class UsageReplicator:
@@ -79,10 +81,10 @@
         self._clock = clock
         self._counters = counters
         self._interval = interval
-        self._until_whole = 0
+        self._rounds_until_full = 0
         self._copies: dict[tuple[str, str], Entries] = {}
         peers.subscribe(Topic.usage, self._receive)
-        members.on_change(self._on_members)
+        members.on_change(self._on_members_changed)
 
     async def run_replication(self) -> None:
         """Copy for as long as the daemon runs.
@@ -107,16 +109,18 @@
         made good by the next whole copy.
         """
         changes = self._counter.take_changes()
-        self._until_whole -= 1
-        if self._until_whole <= 0:
-            self._until_whole = WHOLE_EVERY
+        self._rounds_until_full -= 1
+        if self._rounds_until_full <= 0:
+            self._rounds_until_full = FULL_COPY_ROUNDS
             windows = self._counter.list_windows()
             changes = [self._counter.read(window) for window in windows]
-        keepers = choose_keepers(self._members.own, self._members.list_live())
+        replica_peers = choose_replica_peers(
+            self._members.own, self._members.list_live()
+        )
         for row in changes:
             content = msgspec.msgpack.encode(row)
-            for keeper in keepers:
-                self._peers.send(keeper, Topic.usage, content)
+            for peer in replica_peers:
+                self._peers.send(peer, Topic.usage, content)
 
     async def store_due(self) -> None:
         """Store finished windows of this daemon and copies of the dead."""
@@ -137,8 +141,8 @@
         for window in self._counter.list_windows():
             await self._store_own(window)
 
-    def _on_members(self) -> None:
-        self._until_whole = 0
+    def _on_members_changed(self) -> None:
+        self._rounds_until_full = 0
 
     async def _store_own(self, window: str) -> None:
         row = self._counter.read(window)
@@ -156,7 +160,7 @@
             self._copies.pop((incarnation, window))
 
     def _is_old(self, window: str) -> bool:
-        oldest = self._clock.now() - KEPT_WINDOWS * self._counter.length
+        oldest = self._clock.now() - MAX_COPY_AGE_WINDOWS * self._counter.length
         return window < name_window(oldest, self._counter.length)
 
     def _receive(self, sender: Member, content: bytes) -> None:
@@ -166,7 +170,7 @@
             self._counters.add('usage_messages_malformed')
             log.warning('Usage message dropped.', peer=sender.incarnation)
             return
-        place = (sender.incarnation, row.window)
-        self._copies[place] = join_entries(
-            self._copies.get(place, {}), index_entries(row.entries)
+        copy_key = (sender.incarnation, row.window)
+        self._copies[copy_key] = join_entries(
+            self._copies.get(copy_key, {}), index_entries(row.entries)
         )
--- a/quetzalcourse/coordination/usage/usage_reports.py
+++ b/quetzalcourse/coordination/usage/usage_reports.py
@@ -11,12 +11,12 @@
 from quetzalcourse.coordination.fleet.in_flight import InFlightCalls
 from quetzalcourse.coordination.usage.usage_rows import (
     LATE_PREFIX,
-    encode_row,
-    expect,
-    name_closed,
-    name_included,
+    build_closed_key,
+    build_included_key,
     build_row_key,
     decode_entries,
+    encode_row,
+    require_unchanged,
 )
 from quetzalcourse.log import get_log
 from quetzalcourse.state.engines import OrderProblem
@@ -46,6 +46,7 @@
 
 if TYPE_CHECKING:
     from collections.abc import Callable
+
     from quetzalcourse.coordination.leases.lease import Lease
     from quetzalcourse.coordination.ports import Table, UsageReports
     from quetzalcourse.state.clock import Clock
@@ -113,15 +114,15 @@
         self._length = length
         self._grace = grace
         self.in_flight = InFlightCalls()
-        self.on_sent: Callable[[timedelta], None] = _ignore
+        self.on_sent: Callable[[timedelta], None] = _ignore_delay
 
     async def run(self) -> None:
         """Do what is due until the task is cancelled."""
         while True:
-            if not await self.step():
+            if not await self.run_once():
                 await self._clock.sleep(POLL_INTERVAL)
 
-    async def step(self) -> bool:
+    async def run_once(self) -> bool:
         """Do the next thing that is due.
 
         :returns: whether something was done and the next may be due.
@@ -133,7 +134,7 @@
             return False
         row = answer.ok_value
         if row is None:
-            return await self._begin()
+            return await self._initialise()
         progress = msgspec.json.decode(row.content, type=UsageProgress)
         if progress.sent < progress.frozen:
             return await self._send(row, progress)
@@ -143,7 +144,7 @@
             return False
         return await self._freeze(row, progress, window)
 
-    async def _begin(self) -> bool:
+    async def _initialise(self) -> bool:
         # What was counted before the first holder came must not be left
         # behind, so the oldest row decides where the reports begin.
         rows = await scan_rows(self._table, 'usage/', 1)
@@ -156,7 +157,7 @@
         before = name_window(find_start(window) - self._length, self._length)
         return await self._transact(
             (Condition(PROGRESS_KEY, ABSENT),),
-            (write_progress(UsageProgress(before, before)),),
+            (build_progress_write(UsageProgress(before, before)),),
         )
 
     async def _freeze(
@@ -173,15 +174,15 @@
             return False
         conditions = [
             Condition(build_report_key(window), ABSENT),
-            expect(PROGRESS_KEY, row),
+            require_unchanged(PROGRESS_KEY, row),
         ]
-        writes = [write_progress(UsageProgress(window, progress.sent))]
+        writes = [build_progress_write(UsageProgress(window, progress.sent))]
         late_rows = []
         for found in late.ok_value:
-            taken = await self._take_late(found, conditions, writes)
-            if isinstance(taken, Err):
+            included = await self._include_late(found, conditions, writes)
+            if isinstance(included, Err):
                 return False
-            late_rows.append(taken.ok_value)
+            late_rows.append(included.ok_value)
         content = sum_window(window, in_time.ok_value, late_rows)
         writes.append(
             Write(build_report_key(window), msgspec.json.encode(content))
@@ -194,7 +195,7 @@
         return frozen
 
     async def _close(self, window: str) -> bool:
-        key = name_closed(window)
+        key = build_closed_key(window)
         answer = await self._table.read(key)
         if isinstance(answer, Err):
             return False
@@ -204,14 +205,14 @@
             (Condition(key, ABSENT),), (Write(key, b'{}'),)
         )
 
-    async def _take_late(
+    async def _include_late(
         self,
         late: Row,
         conditions: list[Condition],
         writes: list[Write],
     ) -> Result[UsageRow, StoreFault]:
         row = msgspec.json.decode(late.content, type=UsageRow)
-        included_key = name_included(row.window, row.incarnation)
+        included_key = build_included_key(row.window, row.incarnation)
         included = await self._table.read(included_key)
         if isinstance(included, Err):
             return included
@@ -224,13 +225,15 @@
             decode_entries(included.ok_value), decode_entries(in_time.ok_value)
         )
         whole = join_entries(reported, index_entries(row.entries))
-        conditions.append(expect(late.key, late))
-        conditions.append(expect(included_key, included.ok_value))
+        conditions.append(require_unchanged(late.key, late))
+        conditions.append(require_unchanged(included_key, included.ok_value))
         stored = UsageRow(row.window, row.incarnation, list_entries(whole))
         writes.append(Write(included_key, encode_row(stored)))
         writes.append(Write(late.key, None))
-        rest = subtract_entries(whole, reported)
-        return Ok(UsageRow(row.window, row.incarnation, list_entries(rest)))
+        unreported = subtract_entries(whole, reported)
+        return Ok(
+            UsageRow(row.window, row.incarnation, list_entries(unreported))
+        )
 
     async def _send(self, row: Row, progress: UsageProgress) -> bool:
         window = name_next(progress.sent, self._length)
@@ -249,8 +252,8 @@
             return False
         log.info('Usage report taken.', window=window)
         noted = await self._transact(
-            (expect(PROGRESS_KEY, row),),
-            (write_progress(UsageProgress(progress.frozen, window)),),
+            (require_unchanged(PROGRESS_KEY, row),),
+            (build_progress_write(UsageProgress(progress.frozen, window)),),
         )
         if noted:
             self.on_sent(self._find_delay(window))
@@ -267,19 +270,19 @@
         return answer.is_ok() and answer.unwrap().applied
 
     def _measure_delay(self, window: str) -> None:
-        behind = self._find_delay(window)
-        self._counters.set('usage_behind_seconds', behind.total_seconds())
+        delay = self._find_delay(window)
+        self._counters.set('usage_behind_seconds', delay.total_seconds())
 
     def _find_delay(self, window: str) -> timedelta:
         due = find_start(window) + self._length + self._grace
         return max(timedelta(0), self._clock.now() - due)
 
 
-def _ignore(_: timedelta) -> None:
+def _ignore_delay(_: timedelta) -> None:
     """Take no note: nobody listens yet."""
 
 
-def write_progress(progress: UsageProgress) -> Write:
+def build_progress_write(progress: UsageProgress) -> Write:
     """Write down what is dealt with."""
     return Write(PROGRESS_KEY, msgspec.json.encode(progress))
 
--- a/quetzalcourse/coordination/usage/usage_rows.py
+++ b/quetzalcourse/coordination/usage/usage_rows.py
@@ -34,17 +34,17 @@
     return f'usage/{window}/{incarnation}'
 
 
-def name_late(window: str, incarnation: str) -> str:
+def build_late_key(window: str, incarnation: str) -> str:
     """Name the row of what came after its window was closed."""
     return f'{LATE_PREFIX}{window}/{incarnation}'
 
 
-def name_included(window: str, incarnation: str) -> str:
+def build_included_key(window: str, incarnation: str) -> str:
     """Name the row of late figures that later reports hold already."""
     return f'usage-included/{window}/{incarnation}'
 
 
-def name_closed(window: str) -> str:
+def build_closed_key(window: str) -> str:
     """Name the row whose presence closes a window."""
     return f'usage-closed/{window}'
 
@@ -62,7 +62,7 @@
     return index_entries(found.entries)
 
 
-def expect(key: str, row: Row | None) -> Condition:
+def require_unchanged(key: str, row: Row | None) -> Condition:
     """Require that a row is still as it was read."""
     return Condition(key, row.version if row else ABSENT)
 
@@ -104,17 +104,17 @@
         return await self._transact(
             Transaction(
                 (
-                    expect(key, answer.ok_value),
-                    Condition(name_closed(row.window), ABSENT),
+                    require_unchanged(key, answer.ok_value),
+                    Condition(build_closed_key(row.window), ABSENT),
                 ),
                 (Write(key, encode_row(whole)),),
             )
         )
 
     async def _store_late(self, row: UsageRow) -> Result[bool, StoreFault]:
-        late_key = name_late(row.window, row.incarnation)
-        included_key = name_included(row.window, row.incarnation)
-        closed = await self._table.read(name_closed(row.window))
+        late_key = build_late_key(row.window, row.incarnation)
+        included_key = build_included_key(row.window, row.incarnation)
+        closed = await self._table.read(build_closed_key(row.window))
         late = await self._table.read(late_key)
         included = await self._table.read(included_key)
         if isinstance(closed, Err) or closed.ok_value is None:
@@ -133,8 +133,8 @@
         return await self._transact(
             Transaction(
                 (
-                    expect(late_key, late.ok_value),
-                    expect(included_key, included.ok_value),
+                    require_unchanged(late_key, late.ok_value),
+                    require_unchanged(included_key, included.ok_value),
                 ),
                 (Write(late_key, encode_row(whole)),),
             )
--- a/quetzalcourse/coordination/weights/wave_runner.py
+++ b/quetzalcourse/coordination/weights/wave_runner.py
@@ -27,7 +27,7 @@
     from quetzalcourse.state.manifest import Upstream
     from quetzalcourse.state.waves import Swap, WavePlan
 
-INTERVAL = timedelta(milliseconds=500)
+POLL_INTERVAL = timedelta(milliseconds=500)
 log = get_log('waves')
 
 
@@ -76,7 +76,7 @@
                 await self.advance()
             else:
                 self._waves.clear()
-            await self._clock.sleep(INTERVAL)
+            await self._clock.sleep(POLL_INTERVAL)
 
     async def finish(self) -> None:
         """Wait until every order on its way was answered or timed out."""
@@ -93,16 +93,16 @@
     async def advance(self) -> None:
         """Choose the engines to tell now, and tell them."""
         for model, engines in self._list_engines().items():
-            answer = await self._newest.find(model)
+            answer = await self._newest.fetch(model)
             if isinstance(answer, Err) or not answer.ok_value:
                 continue
-            wave = self._find_wave(model, answer.ok_value)
-            views = self._view(engines)
+            wave = self._get_wave(model, answer.ok_value)
+            views = self._build_views(engines)
             self._publish(model, wave, views)
             for swap in wave.choose_swaps(self._clock.elapsed(), views):
-                self._send(wave, engines[swap.engine], swap)
+                self._start_order(wave, engines[swap.engine], swap)
 
-    def _find_wave(self, model: str, version: int) -> Wave:
+    def _get_wave(self, model: str, version: int) -> Wave:
         wave = self._waves.get(model)
         if wave is None or wave.version < version:
             wave = Wave(version, self._plan)
@@ -120,7 +120,7 @@
                 models[upstream.models[0]][name] = upstream
         return models
 
-    def _view(self, engines: dict[str, Upstream]) -> list[EngineView]:
+    def _build_views(self, engines: dict[str, Upstream]) -> list[EngineView]:
         views = []
         for name, upstream in engines.items():
             report = self._find_report(name)
@@ -130,13 +130,18 @@
                 )
         return views
 
-    def _send(self, wave: Wave, upstream: Upstream, swap: Swap) -> None:
+    def _start_order(self, wave: Wave, upstream: Upstream, swap: Swap) -> None:
         loop = asyncio.get_running_loop()
-        task = loop.create_task(self._order(wave, upstream, swap))
+        task = loop.create_task(self._send_order(wave, upstream, swap))
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
 
-    async def _order(self, wave: Wave, upstream: Upstream, swap: Swap) -> None:
+    async def _send_order(
+        self,
+        wave: Wave,
+        upstream: Upstream,
+        swap: Swap,
+    ) -> None:
         # Between the choice and this step of the loop the lease may have
         # ended; an engine that ignores tokens would obey two holders.
         if not self._lease.may_send:
--- a/quetzalcourse/coordination/weights/waves.py
+++ b/quetzalcourse/coordination/weights/waves.py
@@ -46,20 +46,20 @@
             engine for engine in engines if engine.weight_version < self.version
         ]
         loading = [engine for engine in behind if self._is_loading(engine, now)]
-        waiting = [engine for engine in behind if engine not in loading]
-        waiting.sort(key=self._rank)
-        out = sum(engine.slots for engine in loading)
-        spare = self._find_spare(engines)
+        pending = [engine for engine in behind if engine not in loading]
+        pending.sort(key=self._rank)
+        slots_out = sum(engine.slots for engine in loading)
+        spare_slots = self._count_spare_slots(engines)
         chosen: list[Swap] = []
-        for engine in waiting:
+        for engine in pending:
             # Two servers of today leave nothing to spare for either; one at
             # a time still has to load, or the version would never arrive.
-            fits = out + engine.slots <= spare or out == 0
+            fits = slots_out + engine.slots <= spare_slots or slots_out == 0
             if not fits or self._allowance < 1:
                 break
             self._allowance -= 1
-            out += engine.slots
-            chosen.append(self._tell(engine, now))
+            slots_out += engine.slots
+            chosen.append(self._start_swap(engine, now))
         return chosen
 
     def mark_timed_out(self, swap: Swap) -> None:
@@ -74,7 +74,7 @@
         """Count the engines that do not report the version yet."""
         return sum(engine.weight_version < self.version for engine in engines)
 
-    def _tell(self, engine: EngineView, now: timedelta) -> Swap:
+    def _start_swap(self, engine: EngineView, now: timedelta) -> Swap:
         before = self._swaps.get(engine.name)
         attempt = before.attempt + 1 if before else 1
         if before is not None:
@@ -93,7 +93,7 @@
         swap = self._swaps.get(engine.name)
         return swap.attempt if swap else 0, engine.name
 
-    def _find_spare(self, engines: Sequence[EngineView]) -> float:
+    def _count_spare_slots(self, engines: Sequence[EngineView]) -> float:
         slots = sum(engine.slots for engine in engines)
         return slots * (1 - self._plan.serving_share)
 
--- a/quetzalcourse/tests/coordination/steps/sample_making_tests.py
+++ b/quetzalcourse/tests/coordination/steps/sample_producer_tests.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from quetzalcourse.coordination.steps.sample_making import (
-    MakingParts,
-    SampleMaking,
+from quetzalcourse.coordination.steps.sample_producer import (
+    ProducerParts,
+    SampleProducer,
 )
-from quetzalcourse.coordination.steps.sample_stream import SampleOrder
+from quetzalcourse.coordination.steps.sample_stream import SampleSpec
 from quetzalcourse.coordination.steps.staleness import (
     NewestVersions,
     is_labelled,
 )
-from quetzalcourse.coordination.steps.stragglers import RescueKind
+from quetzalcourse.coordination.steps.stragglers import MitigationKind
 from quetzalcourse.standins.rollouts import ScriptedEngine, ScriptedGeneration
 from quetzalcourse.standins.virtual_time import VirtualClock, run_virtual
 from quetzalcourse.state.counters import Counters
@@ -35,7 +35,7 @@
 LENGTH = 100
 
 
-class Making:
+class ProducerScenario:
     """One sample on two scripted engines of one slot each."""
 
     def __init__(self, bound: int = 1) -> None:
@@ -47,7 +47,7 @@
         self.platform = FakePlatform()
         clock, self.counters = VirtualClock(), Counters()
         self.newest = NewestVersions(self.platform, clock)
-        order = SampleOrder(
+        sample_spec = SampleSpec(
             build_spec(staleness_bound=bound),
             SampleKey(0, 0),
             'prompt',
@@ -55,91 +55,94 @@
             clock.elapsed() + timedelta(seconds=60),
             'run',
         )
-        parts = MakingParts(
+        parts = ProducerParts(
             self.generation, clock, self.counters, self.newest, lambda: None
         )
-        self.making = SampleMaking(order, parts)
+        self.producer = SampleProducer(sample_spec, parts)
 
-    async def run(self, script: Callable[[Making], Awaitable[None]]) -> Sample:
-        making = asyncio.ensure_future(self.making.make())
+    async def run(
+        self,
+        script: Callable[[ProducerScenario], Awaitable[None]],
+    ) -> Sample:
+        task = asyncio.ensure_future(self.producer.produce())
         await script(self)
-        sample = await making
+        sample = await task
         await asyncio.sleep(0.01)
         assert self.first.running + self.second.running == 0
         return sample
 
 
-async def copy(made: Making) -> None:
+async def start_copy(scenario: ProducerScenario) -> None:
     await asyncio.sleep(3.05)
-    await made.making.rescue(RescueKind.copy)
+    await scenario.producer.mitigate(MitigationKind.copy)
 
 
-async def move(made: Making) -> None:
+async def move_stream(scenario: ProducerScenario) -> None:
     await asyncio.sleep(3.05)
-    await made.making.rescue(RescueKind.move)
+    await scenario.producer.mitigate(MitigationKind.move)
 
 
-async def rescue_twice(made: Making) -> None:
-    await copy(made)
-    await made.making.rescue(RescueKind.copy)
+async def start_copy_twice(scenario: ProducerScenario) -> None:
+    await start_copy(scenario)
+    await scenario.producer.mitigate(MitigationKind.copy)
 
 
-async def crash(made: Making) -> None:
+async def crash_engine(scenario: ProducerScenario) -> None:
     await asyncio.sleep(3.05)
-    made.first.up = False
+    scenario.first.up = False
 
 
-async def refuse(made: Making) -> None:
-    made.generation.refuse_next = 3
+async def refuse_requests(scenario: ProducerScenario) -> None:
+    scenario.generation.refuse_next = 3
 
 
-async def swap(made: Making) -> None:
+async def swap_weights(scenario: ProducerScenario) -> None:
     await asyncio.sleep(3.05)
-    made.first.weight_version = 2
+    scenario.first.weight_version = 2
 
 
-async def outdate(made: Making) -> None:
+async def outdate_versions(scenario: ProducerScenario) -> None:
     await asyncio.sleep(3.05)
-    for engine in made.generation.engines:
+    for engine in scenario.generation.engines:
         engine.weight_version = 3
-    made.newest.observe(MODEL, 3)
+    scenario.newest.observe(MODEL, 3)
 
 
-async def hide(made: Making) -> None:
-    made.first.names_versions = False
+async def hide_versions(scenario: ProducerScenario) -> None:
+    scenario.first.names_versions = False
 
 
 @pytest.mark.parametrize(
-    ('script', 'made', 'versions'),
+    ('script', 'max_tokens', 'versions'),
     [
-        (copy, 160, [1] * LENGTH),
-        (move, 100, [1] * LENGTH),
-        (rescue_twice, 160, [1] * LENGTH),
-        (crash, 100, [1] * LENGTH),
-        (refuse, 100, [1] * LENGTH),
-        (swap, 100, [1] * 30 + [2] * 70),
-        (outdate, 140, [3] * LENGTH),
-        (hide, 110, [1] * LENGTH),
+        (start_copy, 160, [1] * LENGTH),
+        (move_stream, 100, [1] * LENGTH),
+        (start_copy_twice, 160, [1] * LENGTH),
+        (crash_engine, 100, [1] * LENGTH),
+        (refuse_requests, 100, [1] * LENGTH),
+        (swap_weights, 100, [1] * 30 + [2] * 70),
+        (outdate_versions, 140, [3] * LENGTH),
+        (hide_versions, 110, [1] * LENGTH),
     ],
 )
 def test_sample_is_whole_and_truly_labelled(
-    script: Callable[[Making], Awaitable[None]],
-    made: int,
+    script: Callable[[ProducerScenario], Awaitable[None]],
+    max_tokens: int,
     versions: list[int],
 ) -> None:
     # Engines crash, refuse, swap weights, fall behind or hide versions in
     # the middle of a sample. What the trainer gets must be one whole text
     # whose labels say which weights made which tokens.
     async def run() -> tuple[Sample, int]:
-        scene = Making()
-        sample = await scene.run(script)
-        return sample, scene.generation.made
+        scenario = ProducerScenario()
+        sample = await scenario.run(script)
+        return sample, scenario.generation.made
 
     sample, tokens = run_virtual(run())
     assert read_versions(sample.text) == versions
     assert sample.token_count == LENGTH
     assert is_labelled(sample)
-    assert tokens <= made
+    assert tokens <= max_tokens
 
 
 @pytest.mark.parametrize(
--- a/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
@@ -9,13 +9,13 @@
 from quetzalcourse.coordination.service_levels.service_levels import (
     ServiceLevels,
 )
-from quetzalcourse.coordination.steps.delivery_counts import DeliveryCounts
+from quetzalcourse.coordination.steps.delivery_metrics import DeliveryMetrics
 from quetzalcourse.coordination.steps.staleness import NewestVersions
 from quetzalcourse.coordination.steps.step_delivery import StepDelivery
 from quetzalcourse.coordination.steps.step_rows import (
+    build_batch_key,
+    build_delivery_key,
     encode,
-    name_batch,
-    name_delivery,
 )
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.rows import Transaction, Write
@@ -43,8 +43,8 @@
         for index in range(2)
     )
     writes = (
-        Write(name_delivery(TRAINER, 1), encode(DeliveryRecord())),
-        Write(name_batch(TRAINER, 1, 0), encode(StepBatch(0, samples))),
+        Write(build_delivery_key(TRAINER, 1), encode(DeliveryRecord())),
+        Write(build_batch_key(TRAINER, 1, 0), encode(StepBatch(0, samples))),
     )
     await platform.transact(Transaction((), writes))
     platform.writes = 0
@@ -56,8 +56,8 @@
     known = NewestVersions(platform, clock)
     known.observe(MODEL, newest)
     levels = ServiceLevels(clock, counters)
-    counts = DeliveryCounts(clock, counters, levels)
-    return StepDelivery(platform, known, counts)
+    metrics = DeliveryMetrics(clock, counters, levels)
+    return StepDelivery(platform, known, metrics)
 
 
 @pytest.mark.parametrize('versions', [(1, 3), (3, 1), (3, 3), (1, 1)])
--- a/quetzalcourse/tests/coordination/steps/step_log_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_log_tests.py
@@ -8,17 +8,20 @@
 import pytest
 
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.steps.leased_rows import LeasedRows
+from quetzalcourse.coordination.steps.fenced_writer import FencedWriter
 from quetzalcourse.coordination.steps.step_lease import StepLease
 from quetzalcourse.coordination.steps.step_log import StepLog
-from quetzalcourse.coordination.steps.step_rows import StepLostError, name_lease
-from quetzalcourse.coordination.steps.step_service import STEP_TERMS
+from quetzalcourse.coordination.steps.step_rows import (
+    StepLeaseLostError,
+    build_lease_key,
+)
+from quetzalcourse.coordination.steps.step_service import STEP_LEASE_TERMS
 from quetzalcourse.state.steps import RunReport, Sample, VersionRange
 from quetzalcourse.tests.clocks import FakeClock
 from quetzalcourse.tests.step_world import TRAINER, build_spec
 from quetzalcourse.tests.tables import FakeStore
 
-PAUSE = STEP_TERMS.term + STEP_TERMS.margin
+PAUSE = STEP_LEASE_TERMS.term + STEP_LEASE_TERMS.margin
 REPORT = RunReport()
 SPEC = build_spec()
 
@@ -28,22 +31,26 @@
     return Sample(0, index, 'a', 1, 'stop', versions)
 
 
-class Holder:
+class LeaseHolder:
     """A daemon that wants to write the log."""
 
     def __init__(self, store: FakeStore, name: str) -> None:
         self.clock = FakeClock()
         self.lease = Lease(
-            store, self.clock, name_lease(TRAINER, 1), name, STEP_TERMS
+            store,
+            self.clock,
+            build_lease_key(TRAINER, 1),
+            name,
+            STEP_LEASE_TERMS,
         )
         self._store = store
 
     async def begin(self) -> StepLog:
         while not await self.lease.pursue():
             self.clock.move(PAUSE)
-        held = StepLease(self._store, self.lease)
-        rows = LeasedRows(self._store, held, self.clock)
-        log = StepLog(self._store, rows, SPEC)
+        step_lease = StepLease(self._store, self.lease)
+        writer = FencedWriter(self._store, step_lease, self.clock)
+        log = StepLog(self._store, writer, SPEC)
         (await log.load()).unwrap()
         return log
 
@@ -58,7 +65,7 @@
     # first wakes up in the middle of a commit. If that still took effect,
     # the trainer would get a sample from each of them.
     store = FakeStore()
-    old, new = Holder(store, 'old'), Holder(store, 'new')
+    old, new = LeaseHolder(store, 'old'), LeaseHolder(store, 'new')
     old_log = await old.begin()
     for index in range(position):
         await old_log.append((make_sample(index),), REPORT)
@@ -66,9 +73,9 @@
     new_log = await new.begin()
     await new_log.append((make_sample(2),), REPORT)
     store.write_faults.append(fault)
-    with pytest.raises(StepLostError):
+    with pytest.raises(StepLeaseLostError):
         await old_log.append((make_sample(2), make_sample(3)), REPORT)
-    again = await Holder(store, 'third').begin()
+    again = await LeaseHolder(store, 'third').begin()
     assert sorted(key.index for key in again.committed) == [
         *range(position),
         2,
@@ -80,7 +87,7 @@
     # requires a row version that is gone. Its next commit must find its way
     # without giving the step up.
     store = FakeStore()
-    holder = Holder(store, 'holder')
+    holder = LeaseHolder(store, 'holder')
     log = await holder.begin()
     store.write_faults.append('lost_after')
     await holder.lease.pursue()
--- a/quetzalcourse/tests/coordination/steps/steps_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_service_tests.py
@@ -8,7 +8,10 @@
 import pytest
 from result import Err
 
-from quetzalcourse.coordination.steps.step_rows import name_open, name_step
+from quetzalcourse.coordination.steps.step_rows import (
+    build_open_key,
+    build_step_key,
+)
 from quetzalcourse.standins.rollouts import ScriptedEngine
 from quetzalcourse.standins.virtual_time import run_virtual
 from quetzalcourse.state.refusal import RefusalCode
@@ -131,7 +134,7 @@
         await asyncio.sleep(5)
         assert all(engine.running == 0 for engine in world.engines)
         assert set(world.platform.table.rows) == {
-            name_step(TRAINER, 1),
+            build_step_key(TRAINER, 1),
             f'step-delivery/{TRAINER}/{1:012d}',
         }
         answer = await first.steps.read(TRAINER, 1, 0)
@@ -183,7 +186,7 @@
         return sorted(world.platform.table.rows)
 
     rows = run_virtual(run())
-    assert name_open(TRAINER, 1) not in rows
+    assert build_open_key(TRAINER, 1) not in rows
     assert not [row for row in rows if row.startswith('step-log/')]
 
 
--- a/quetzalcourse/tests/coordination/steps/stragglers_tests.py
+++ b/quetzalcourse/tests/coordination/steps/stragglers_tests.py
@@ -11,13 +11,13 @@
     LengthEstimator,
 )
 from quetzalcourse.coordination.steps.stragglers import (
-    RescueKind,
+    MitigationKind,
     RunningSample,
-    plan_rescues,
+    plan_mitigations,
 )
 from quetzalcourse.state.steps import SampleKey
 
-COPY, MOVE = RescueKind.copy, RescueKind.move
+COPY, MOVE = MitigationKind.copy, MitigationKind.move
 
 
 def run_on(
@@ -25,14 +25,14 @@
     upstream: str,
     rate: int,
     tokens: int = 100,
-    silent: int = 0,
+    idle: int = 0,
 ) -> RunningSample:
     return RunningSample(
         SampleKey(0, index),
         upstream,
         tokens,
         timedelta(seconds=tokens / rate),
-        timedelta(seconds=silent),
+        timedelta(seconds=idle),
     )
 
 
@@ -40,7 +40,7 @@
 SLOW = run_on(1, 'slow', 50)
 SLOWER = run_on(2, 'slow', 50, tokens=40)
 NEARLY = run_on(3, 'nearly', 90)
-STALLED = run_on(4, 'slow', 50, silent=9)
+STALLED = run_on(4, 'slow', 50, idle=9)
 STARTED = run_on(5, 'slow', 1, tokens=2)
 
 
@@ -60,9 +60,9 @@
 def test_rescues(
     running: list[RunningSample],
     idle: int,
-    expected: list[tuple[int, RescueKind]],
+    expected: list[tuple[int, MitigationKind]],
 ) -> None:
-    found = plan_rescues(running, idle)
+    found = plan_mitigations(running, idle)
     assert [(one.key.index, one.kind) for one in found] == expected
 
 
--- a/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
+++ b/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
@@ -22,7 +22,7 @@
 from quetzalcourse.state.waves import WavePlan
 from quetzalcourse.tests.step_world import MODEL, FakePlatform
 
-HALL = 'hall'
+DATA_CENTRE = 'hall'
 TERMS = LeaseTerms(timedelta(seconds=10), timedelta(seconds=2))
 PLAN = WavePlan(0.5, 10.0, timedelta(seconds=5))
 
@@ -35,7 +35,7 @@
             f'engine-{index}': Upstream(
                 f'engine-{index}',
                 UpstreamKind.engine,
-                HALL,
+                DATA_CENTRE,
                 '127.0.0.1:1',
                 slots=8,
                 models=(MODEL,),
@@ -64,7 +64,7 @@
         return Ok(report)
 
 
-class Hall:
+class RunnerScenario:
     """A data centre with its wave runner."""
 
     def __init__(self, engines: FakeEngines) -> None:
@@ -74,7 +74,7 @@
             self.platform, clock, 'lease/engines/hall', 'holder', TERMS
         )
         self.runner = WaveRunner(
-            HALL,
+            DATA_CENTRE,
             self.lease,
             engines,  # type: ignore[arg-type]
             NewestVersions(self.platform, clock),
@@ -102,10 +102,10 @@
             'engine-0': [OrderProblem.refused],
             'engine-1': [OrderProblem.unanswered],
         }
-        hall = Hall(engines)
-        hall.platform.publish()
-        await hall.lease.pursue()
-        await hall.run(9)
+        scenario = RunnerScenario(engines)
+        scenario.platform.publish()
+        await scenario.lease.pursue()
+        await scenario.run(9)
         return engines
 
     engines = run_virtual(run())
@@ -120,11 +120,11 @@
     # ignores fencing tokens would obey it beside its successor.
     async def run() -> list[EngineOrder]:
         engines = FakeEngines(4)
-        hall = Hall(engines)
-        await hall.lease.pursue()
+        scenario = RunnerScenario(engines)
+        await scenario.lease.pursue()
         await asyncio.sleep(TERMS.term.total_seconds())
-        hall.platform.publish()
-        await hall.run(5)
+        scenario.platform.publish()
+        await scenario.run(5)
         return engines.orders
 
     assert run_virtual(run()) == []
