--- a/quetzalcourse/coordination/usage/usage.py
+++ b/quetzalcourse/coordination/usage/usage_counter.py
@@ -24,7 +24,7 @@
 MAX_WINDOWS = 200
 
 
-def name_kind(upstream: Upstream) -> str:
+def format_kind(upstream: Upstream) -> str:
     """Name the kind of an upstream as reports do."""
     return f'{upstream.kind}-cheap' if upstream.cheap else str(upstream.kind)
 
@@ -69,7 +69,7 @@
         window = name_window(self._clock.now(), self.length)
         window = max(window, self._latest)
         self._latest = window
-        key = UsageKey(client_account, traffic_class, name_kind(upstream))
+        key = UsageKey(client_account, traffic_class, format_kind(upstream))
         entries = self._windows.setdefault(window, {})
         entries[key] = entries.get(key, NOTHING) + figures
         self.generated[traffic_class] += figures.generated_tokens
@@ -101,7 +101,7 @@
         if self.read(stored.window) == stored:
             self._windows.pop(stored.window, None)
 
-    def limit(self) -> None:
+    def drop_oldest(self) -> None:
         """Drop the oldest windows once there are too many.
 
         Only a store that is away for days brings this about; the count of
--- a/quetzalcourse/coordination/usage/usage_rows.py
+++ b/quetzalcourse/coordination/usage/usage_rows.py
@@ -29,22 +29,22 @@
 LATE_PREFIX = 'usage-late/'
 
 
-def name_row(window: str, incarnation: str) -> str:
+def build_row_key(window: str, incarnation: str) -> str:
     """Name the row of what a daemon counted in time."""
     return f'usage/{window}/{incarnation}'
 
 
-def name_late(window: str, incarnation: str) -> str:
+def build_late_key(window: str, incarnation: str) -> str:
     """Name the row of what came after its window was closed."""
     return f'{LATE_PREFIX}{window}/{incarnation}'
 
 
-def name_included(window: str, incarnation: str) -> str:
+def build_included_key(window: str, incarnation: str) -> str:
     """Name the row of late figures that later reports hold already."""
     return f'usage-included/{window}/{incarnation}'
 
 
-def name_closed(window: str) -> str:
+def build_closed_key(window: str) -> str:
     """Name the row whose presence closes a window."""
     return f'usage-closed/{window}'
 
@@ -54,7 +54,7 @@
     return msgspec.json.encode(row)
 
 
-def read_entries(row: Row | None) -> Entries:
+def decode_entries(row: Row | None) -> Entries:
     """Read the figures of a row, none if it is absent."""
     if row is None:
         return {}
@@ -62,12 +62,12 @@
     return index_entries(found.entries)
 
 
-def expect(key: str, row: Row | None) -> Condition:
+def require_unchanged(key: str, row: Row | None) -> Condition:
     """Require that a row is still as it was read."""
     return Condition(key, row.version if row else ABSENT)
 
 
-class UsageRows:
+class UsageRowStore:
     """Writes rows so that the largest figures stay, whoever writes them.
 
     A closed window's rows never change again: what comes then goes to a row
@@ -89,11 +89,11 @@
         return stored.is_ok() and stored.unwrap()
 
     async def _store_in_time(self, row: UsageRow) -> Result[bool, StoreFault]:
-        key = name_row(row.window, row.incarnation)
+        key = build_row_key(row.window, row.incarnation)
         answer = await self._table.read(key)
         if isinstance(answer, Err):
             return answer
-        before = read_entries(answer.ok_value)
+        before = decode_entries(answer.ok_value)
         joined = join_entries(before, index_entries(row.entries))
         if joined == before:
             return Ok(True)
@@ -104,17 +104,17 @@
         return await self._transact(
             Transaction(
                 (
-                    expect(key, answer.ok_value),
-                    Condition(name_closed(row.window), ABSENT),
+                    require_unchanged(key, answer.ok_value),
+                    Condition(build_closed_key(row.window), ABSENT),
                 ),
                 (Write(key, encode_row(whole)),),
             )
         )
 
     async def _store_late(self, row: UsageRow) -> Result[bool, StoreFault]:
-        late_key = name_late(row.window, row.incarnation)
-        included_key = name_included(row.window, row.incarnation)
-        closed = await self._table.read(name_closed(row.window))
+        late_key = build_late_key(row.window, row.incarnation)
+        included_key = build_included_key(row.window, row.incarnation)
+        closed = await self._table.read(build_closed_key(row.window))
         late = await self._table.read(late_key)
         included = await self._table.read(included_key)
         if isinstance(closed, Err) or closed.ok_value is None:
@@ -124,7 +124,7 @@
         if isinstance(included, Err):
             return included
         before = join_entries(
-            read_entries(late.ok_value), read_entries(included.ok_value)
+            decode_entries(late.ok_value), decode_entries(included.ok_value)
         )
         joined = join_entries(before, index_entries(row.entries))
         if joined == before:
@@ -133,8 +133,8 @@
         return await self._transact(
             Transaction(
                 (
-                    expect(late_key, late.ok_value),
-                    expect(included_key, included.ok_value),
+                    require_unchanged(late_key, late.ok_value),
+                    require_unchanged(included_key, included.ok_value),
                 ),
                 (Write(late_key, encode_row(whole)),),
             )
--- a/quetzalcourse/tests/coordination/steps/steps_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_service_tests.py
@@ -8,7 +8,10 @@
 import pytest
 from result import Err
 
-from quetzalcourse.coordination.steps.step_rows import name_open, name_step
+from quetzalcourse.coordination.steps.step_rows import (
+    build_open_key,
+    build_step_key,
+)
 from quetzalcourse.standins.rollouts import ScriptedEngine
 from quetzalcourse.standins.virtual_time import run_virtual
 from quetzalcourse.state.refusal import RefusalCode
@@ -88,7 +91,7 @@
         first, second = world.start_daemon(), world.start_daemon()
         (await first.steps.create(SPEC, PROMPTS)).unwrap()
         await asyncio.sleep(6)
-        progress = (await second.steps.observe(TRAINER, 1)).unwrap()
+        progress = (await second.steps.get_progress(TRAINER, 1)).unwrap()
         assert progress.run is not None
         assert progress.run.holder == first.member.incarnation
         assert 0 < progress.run.committed < progress.total
@@ -106,7 +109,7 @@
         world.generation.refuse_next = 10_000
         (await first.steps.create(SPEC, PROMPTS)).unwrap()
         await asyncio.sleep(25)
-        progress = (await second.steps.observe(TRAINER, 1)).unwrap()
+        progress = (await second.steps.get_progress(TRAINER, 1)).unwrap()
         assert progress.run is not None
         assert progress.run.committed == 0
         assert progress.run.held_up == {'upstream_failed': 16}
@@ -131,7 +134,7 @@
         await asyncio.sleep(5)
         assert all(engine.running == 0 for engine in world.engines)
         assert set(world.platform.table.rows) == {
-            name_step(TRAINER, 1),
+            build_step_key(TRAINER, 1),
             f'step-delivery/{TRAINER}/{1:012d}',
         }
         answer = await first.steps.read(TRAINER, 1, 0)
@@ -171,7 +174,7 @@
         world = build_world()
         daemon = world.start_daemon()
         await TrainerFake(world, SPEC).run()
-        whole = (await daemon.steps.observe(TRAINER, 1)).unwrap()
+        whole = (await daemon.steps.get_progress(TRAINER, 1)).unwrap()
         for _ in range(2):
             (
                 await daemon.steps.acknowledge(
@@ -183,7 +186,7 @@
         return sorted(world.platform.table.rows)
 
     rows = run_virtual(run())
-    assert name_open(TRAINER, 1) not in rows
+    assert build_open_key(TRAINER, 1) not in rows
     assert not [row for row in rows if row.startswith('step-log/')]
 
 
