--- a/bench/slot_world.py
+++ b/bench/slot_world.py
@@ -14,7 +14,9 @@
 from bench.slot_policies import AloneOnReports, FixedShares
 from bench.virtual_time import VirtualClock
 from quetzalcourse.coordination.slots.admission import Admission
-from quetzalcourse.coordination.slots.owner_grants import OwnerGrants
+from quetzalcourse.coordination.slots.distributed_slot_policy import (
+    DistributedSlotPolicy,
+)
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.generation import TrafficClass
@@ -339,12 +341,14 @@
     def _build_policy(
         self,
         at: int,
-    ) -> OwnerGrants | AloneOnReports | FixedShares:
+    ) -> DistributedSlotPolicy | AloneOnReports | FixedShares:
         if self.plan.policy == 'alone':
             return AloneOnReports(self.engines)
         if self.plan.policy == 'fixed':
             return FixedShares(self.views[at])
-        grants = OwnerGrants(self.views[at], self.links[at], self.clock)
+        grants = DistributedSlotPolicy(
+            self.views[at], self.links[at], self.clock
+        )
         tick = partial(self.network.time_call, grants.on_tick)
         grants.on_tick = tick  # type: ignore[method-assign]
         return grants
--- a/bench/suites/capacity.py
+++ b/bench/suites/capacity.py
@@ -17,7 +17,9 @@
     join_sections,
     split_sections,
 )
-from quetzalcourse.coordination.service_levels.service_levels import EVENTS
+from quetzalcourse.coordination.service_levels.service_levels import (
+    EVENTS_METRIC,
+)
 from quetzalcourse.standins.deployment import build_settings
 from quetzalcourse.standins.processes import DaemonProcess
 from quetzalcourse.state.counters import Counters
@@ -144,7 +146,7 @@
         for account in manifest.client_accounts:
             for level in LEVELS:
                 counters.add(
-                    EVENTS,
+                    EVENTS_METRIC,
                     service_level=level,
                     client_account=account,
                     outcome='good',
--- a/bench/suites/goodput.py
+++ b/bench/suites/goodput.py
@@ -13,7 +13,9 @@
 from bench.virtual_time import VirtualClock, run_virtual
 from quetzalcourse.coordination.slots.admission import Admission
 from quetzalcourse.coordination.requests.attempt import AttemptError
-from quetzalcourse.coordination.requests.generation import Generation
+from quetzalcourse.coordination.requests.generation_runner import (
+    GenerationRunner,
+)
 from quetzalcourse.coordination.routing.health import Health
 from quetzalcourse.coordination.requests.retries import RetryBudget
 from quetzalcourse.coordination.routing.routing import Router
@@ -155,7 +157,7 @@
         health = kind(self.clock, counters, random.Random(seed))
         admission = Admission(self.clock)
         router = Router(HALLS[0])
-        self.generation = Generation(
+        self.generation = GenerationRunner(
             admission,
             router,
             health,
--- a/bench/suites/leases.py
+++ b/bench/suites/leases.py
@@ -11,7 +11,7 @@
 
 from bench.figure import SHOWN, Figure, at_most
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
+from quetzalcourse.coordination.leases.leader_elector import LeaderElector
 from quetzalcourse.standins.virtual_time import VirtualClock, run_virtual
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.lease import LeaseTerms
@@ -73,9 +73,9 @@
         clock = VirtualClock()
         table = SlowTable(store, 2, lambda: draw_pause(source, 0.5))
         self.lease = Lease(table, clock, 'lease/orders', name, TERMS)
-        keeper = LeaseKeeper(self.lease, self.members, clock, Counters())
+        keeper = LeaderElector(self.lease, self.members, clock, Counters())
         self.release = keeper.release
-        self.retire = keeper.retire
+        self.retire = keeper.stop_renewing
         self.task = asyncio.create_task(keeper.run())
 
 
@@ -177,7 +177,7 @@
         table = SlowTable(store, 2, lambda: draw_pause(source, 3))
         lease = Lease(table, VirtualClock(), 'lease/orders', 'vm', TERMS)
         while True:
-            await lease.pursue()
+            await lease.acquire_or_renew()
             if lease.held:
                 token = lease.token
                 paused = source.random() < 0.1
--- a/quetzalcourse/application.py
+++ b/quetzalcourse/application.py
@@ -9,12 +9,16 @@
 import aiohttp
 
 from quetzalcourse.lease_parts import build_lease_parts
-from quetzalcourse.coordination.service_levels.burn_ledger import BurnLedger
-from quetzalcourse.coordination.service_levels.human_service import HumanService
+from quetzalcourse.coordination.service_levels.daily_event_sums import (
+    DailySumsWriter,
+)
+from quetzalcourse.coordination.service_levels.human_requests import (
+    HumanRequestTracker,
+)
 from quetzalcourse.coordination.manifest.keys import KeyRing
 from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
 from quetzalcourse.coordination.service_levels.service_levels import (
-    ServiceLevels,
+    ServiceLevelTracker,
 )
 from quetzalcourse.coordination.membership.status import StatusBoard
 from quetzalcourse.coordination.steps.step_assembly import build_steps
@@ -167,7 +171,7 @@
             self.counters,
         )
         self.generation = self.upstreams.generation
-        self.service_levels = ServiceLevels(self.clock, self.counters)
+        self.service_levels = ServiceLevelTracker(self.clock, self.counters)
         self.steps = build_steps(
             self.platform,
             self.generation,
@@ -198,7 +202,7 @@
         self.lease_parts.reporter.on_sent = self.service_levels.on_report
         self.generation.usage = self.lease_parts.usage
         self.upstreams.services.usage = self.lease_parts.usage
-        self.burn_ledger = BurnLedger(
+        self.burn_ledger = DailySumsWriter(
             self.platform, self.clock, self.counters, self.incarnation
         )
         self.sessions = KeySessions(self.keys)
@@ -235,7 +239,7 @@
             services=self.upstreams.services,
             steps=self.steps,
             service_levels=self.service_levels,
-            human_service=HumanService(self.service_levels, self.clock),
+            human_service=HumanRequestTracker(self.service_levels, self.clock),
             claims=self.upstreams.claims,
             sessions=self.sessions,
             status=self.status,
--- a/quetzalcourse/commands/report.py
+++ b/quetzalcourse/commands/report.py
@@ -18,7 +18,7 @@
     LevelEvents,
     compute_burns,
 )
-from quetzalcourse.coordination.service_levels.burn_ledger import read_sums
+from quetzalcourse.coordination.service_levels.daily_event_sums import read_sums
 from quetzalcourse.exceptions import AbortError
 from quetzalcourse.loop import run_loop
 from quetzalcourse.protocol.exposition import read_events
--- a/quetzalcourse/coordination/batches/failover.py
+++ b/quetzalcourse/coordination/batches/failover.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.slots.ownership import weigh_member
+from quetzalcourse.coordination.slots.ownership import rendezvous_key
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -38,7 +38,7 @@
     """
     others = [one for one in members if one.incarnation != owner]
     strong = {one.incarnation for one in list_strong(others)}
-    weigh = partial(weigh_member, batch)
+    weigh = partial(rendezvous_key, batch)
     return sorted(
         others, key=lambda one: (one.incarnation not in strong, weigh(one))
     )
--- a/quetzalcourse/coordination/fleet/fleet_demand.py
+++ b/quetzalcourse/coordination/fleet/fleet_demand.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from quetzalcourse.coordination.leases.lease_keeper import choose_candidates
+from quetzalcourse.coordination.leases.leader_elector import choose_candidates
 from quetzalcourse.state.fleet import Demand
 from quetzalcourse.state.generation import TrafficClass
 from quetzalcourse.state.members import Topic
--- a/quetzalcourse/coordination/fleet/orders.py
+++ b/quetzalcourse/coordination/fleet/orders.py
@@ -125,7 +125,7 @@
         content = msgspec.json.encode(intent)
         answer = await self._table.transact(
             Transaction(
-                (self._lease.require(), expect(key, row)),
+                (self._lease.fence_condition(), expect(key, row)),
                 (Write(key, content),),
             )
         )
--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -82,7 +82,7 @@
         )
         written = await self._table.transact(
             Transaction(
-                (self._lease.require(), expect(SPENDING_KEY, row)),
+                (self._lease.fence_condition(), expect(SPENDING_KEY, row)),
                 (Write(SPENDING_KEY, msgspec.json.encode(after)),),
             )
         )
--- a/quetzalcourse/coordination/leases/lease_keeper.py
+++ b/quetzalcourse/coordination/leases/leader_elector.py
@@ -33,23 +33,23 @@
     :param live: daemons that may contend for it.
     """
 
-    mine = weigh_member(key, own)
-    return sum(weigh_member(key, member) < mine for member in live)
+    mine = rendezvous_weight(key, own)
+    return sum(rendezvous_weight(key, member) < mine for member in live)
 
 
 def choose_candidates(key: str, live: list[Member]) -> list[Member]:
     """List the contenders that watch a lease closely."""
-    ranked = sorted(live, key=lambda member: weigh_member(key, member))
+    ranked = sorted(live, key=lambda member: rendezvous_weight(key, member))
     return ranked[:CANDIDATES]
 
 
-def weigh_member(key: str, member: Member) -> int:
+def rendezvous_weight(key: str, member: Member) -> int:
     """Give a daemon a weight that every daemon works out alike."""
     text = f'{key} {member.incarnation}'
     return xxhash.xxh32_intdigest(text.encode())
 
 
-class LeaseKeeper:
+class LeaderElector:
     """Renews a lease, or waits for it.
 
     Were all daemons to watch every lease closely, the store's reads would
@@ -86,11 +86,11 @@
         """Pursue the lease until the task is cancelled."""
         while True:
             if not self._retired:
-                await self.lease.pursue()
+                await self.lease.acquire_or_renew()
             self.publish()
             await self._clock.sleep(self.find_pause())
 
-    def retire(self) -> None:
+    def stop_renewing(self) -> None:
         """Pursue the lease no more; a held one runs out or is released."""
         self._retired = True
 
--- a/quetzalcourse/coordination/leases/lease.py
+++ b/quetzalcourse/coordination/leases/lease.py
@@ -46,7 +46,7 @@
     return msgspec.json.decode(row.content, type=LeaseRecord)
 
 
-def is_nobody(_: str) -> bool:
+def is_never_predecessor(_: str) -> bool:
     """Name nobody as an earlier run of this contender."""
     return False
 
@@ -58,7 +58,7 @@
     return msgspec.json.decode(fence.content, type=FenceRecord).token
 
 
-class RowWatch:
+class RowObserver:
     """How long a row has been seen unchanged, by the observer's own clock.
 
     A row's version only grows, so two readings of the same version mean
@@ -118,7 +118,7 @@
         # Two contenders of one process would otherwise take each other's
         # row for their own, and both would hold the lease.
         self._name = f'{holder}:{next(_NUMBERS)}'
-        self._watch = RowWatch(clock)
+        self._watch = RowObserver(clock)
         self._claimed = 0
         self._highest = 0
         self._row: Row | None = None
@@ -128,7 +128,7 @@
         self._lapsed = False
         self._answered_at = clock.elapsed()
         self._taken_at = clock.elapsed()
-        self.is_predecessor: Callable[[str], bool] = is_nobody
+        self.is_predecessor: Callable[[str], bool] = is_never_predecessor
 
     @property
     def held(self) -> bool:
@@ -161,7 +161,7 @@
         last = self._ends - self.terms.order_timeout
         return max(timedelta(0), last - self._clock.elapsed())
 
-    def require(self) -> Condition:
+    def fence_condition(self) -> Condition:
         """Give the condition that fails once another holder took over.
 
         It names the fence row, which renewals leave alone, so that neither
@@ -185,7 +185,7 @@
             silent_seconds=silent.total_seconds(),
         )
 
-    async def pursue(self) -> bool:
+    async def acquire_or_renew(self) -> bool:
         """Renew the lease, or take it if its holder has gone.
 
         :returns: whether the lease is held afterwards.
--- a/quetzalcourse/coordination/requests/closings.py
+++ b/quetzalcourse/coordination/requests/attempt_cleanup.py
@@ -10,11 +10,13 @@
 if TYPE_CHECKING:
     from quetzalcourse.coordination.slots.admission import Admission
     from quetzalcourse.coordination.ports import Engines
-    from quetzalcourse.coordination.requests.work import Work
+    from quetzalcourse.coordination.requests.request_progress import (
+        RequestProgress,
+    )
     from quetzalcourse.state.slots import Grant
 
 
-class Closings:
+class AttemptCleanup:
     """Gives slots back once nothing runs on them any more.
 
     :param admission: takes the slots back.
@@ -27,7 +29,9 @@
         self._engines = engines
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def close(self, grant: Grant, work: Work, state: AttemptState) -> None:
+    def close(
+        self, grant: Grant, work: RequestProgress, state: AttemptState
+    ) -> None:
         """Close an attempt without waiting for the engine.
 
         :param state: what is known of the attempt.
--- a/quetzalcourse/coordination/requests/assembly.py
+++ b/quetzalcourse/coordination/requests/chunk_assembler.py
@@ -18,7 +18,7 @@
     """Stream whose chunks can't become the answer any more."""
 
 
-class Assembly:
+class ChunkAssembler:
     """Puts an answer together, each offset once and in order.
 
     :param request: request that the answer belongs to.
--- a/quetzalcourse/coordination/requests/durations.py
+++ b/quetzalcourse/coordination/requests/duration_estimator.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class ModelPace:
     """Pace of one model.
 
     :param token_seconds: time that a token takes.
@@ -26,12 +26,12 @@
     samples: int = 0
 
 
-class Durations:
+class DurationEstimator:
     """Estimates the time to a whole answer for each model."""
 
     def __init__(self) -> None:
         """Begin without knowledge."""
-        self._paces: dict[str, Pace] = {}
+        self._paces: dict[str, ModelPace] = {}
 
     def learn(
         self,
@@ -46,7 +46,7 @@
         """
         if not generated:
             return
-        pace = self._paces.setdefault(request.model, Pace())
+        pace = self._paces.setdefault(request.model, ModelPace())
         pace.samples += 1
         weight = max(SMOOTHING, 1 / pace.samples)
         seconds = took.total_seconds() / generated
--- a/quetzalcourse/coordination/requests/generation.py
+++ b/quetzalcourse/coordination/requests/generation_runner.py
@@ -7,17 +7,22 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.requests.assembly import Assembly, ChunkError
+from quetzalcourse.coordination.requests.chunk_assembler import (
+    ChunkAssembler,
+    ChunkError,
+)
 from quetzalcourse.coordination.requests.attempt import AttemptError
-from quetzalcourse.coordination.requests.closings import Closings
-from quetzalcourse.coordination.requests.durations import Durations
-from quetzalcourse.coordination.requests.guard import (
+from quetzalcourse.coordination.requests.attempt_cleanup import AttemptCleanup
+from quetzalcourse.coordination.requests.duration_estimator import (
+    DurationEstimator,
+)
+from quetzalcourse.coordination.requests.interrupt_scope import (
     AttemptInterruptedError,
-    Guard,
+    InterruptScope,
     Interruption,
 )
-from quetzalcourse.coordination.requests.interruptions import Interruptions
-from quetzalcourse.coordination.requests.work import Work
+from quetzalcourse.coordination.requests.running_attempts import RunningAttempts
+from quetzalcourse.coordination.requests.request_progress import RequestProgress
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.state.generation import (
     NEVER_RAN,
@@ -42,7 +47,7 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 
-class Generation:
+class GenerationRunner:
     """Runs requests for tokens on engines.
 
     :param admission: hands out slots.
@@ -70,9 +75,9 @@
         self._engines = engines
         self._clock = clock
         self._counters = counters
-        self._durations = Durations()
-        self._closings = Closings(admission, engines)
-        self.interruptions = Interruptions(clock)
+        self._durations = DurationEstimator()
+        self._closings = AttemptCleanup(admission, engines)
+        self.running_attempts = RunningAttempts(clock)
         self.usage: UsageCounter | None = None
 
     async def run(self, request: GenerationRequest) -> AsyncIterator[Chunk]:
@@ -86,7 +91,7 @@
         :param request: what to run.
         :raises RefusedError: when no engine finishes the request.
         """
-        work = Work(request, Assembly(request, self._counters))
+        work = RequestProgress(request, ChunkAssembler(request, self._counters))
         self._budget.earn(request.client_account)
         while True:
             grant = await self._acquire(work)
@@ -106,7 +111,7 @@
         """Wait until the last cancellations have been sent."""
         await self._closings.stop()
 
-    async def _acquire(self, work: Work) -> Grant:
+    async def _acquire(self, work: RequestProgress) -> Grant:
         request = work.request
         while True:
             candidates = self._rank(work)
@@ -120,7 +125,7 @@
             try:
                 grant = await self._admission.acquire(slot)
             except RefusedError as error:
-                raise work.correct(error) from error
+                raise work.adjust_not_run(error) from error
             # The engine may have failed while this request waited for it.
             name = grant.upstream.name
             if self._health.admits(name) and self._router.is_open(name):
@@ -128,7 +133,7 @@
                 return grant
             self._admission.release(grant)
 
-    def _check_time(self, grant: Grant, work: Work) -> None:
+    def _check_time(self, grant: Grant, work: RequestProgress) -> None:
         # Under overload every request is granted its slot just before its
         # deadline. Sent nonetheless, all would be cut at the deadline, and
         # the engines would be busy without one whole answer.
@@ -139,7 +144,7 @@
             self._counters.add('requests_too_late')
             raise work.refuse_too_late(needed)
 
-    def _rank(self, work: Work) -> tuple[str, ...]:
+    def _rank(self, work: RequestProgress) -> tuple[str, ...]:
         ranked = self._router.rank_engines(
             work.request, self._admission.running
         )
@@ -154,13 +159,13 @@
     async def _attempt(
         self,
         grant: Grant,
-        work: Work,
+        work: RequestProgress,
     ) -> AsyncIterator[Chunk]:
         name = grant.upstream.name
         work.begin()
         self._health.on_start(name)
         self._router.on_sent(name, work.request)
-        watch = self.interruptions.on_begin(grant, work.request)
+        watch = self.running_attempts.on_begin(grant, work.request)
         state = AttemptState.maybe_sent
         began = self._clock.elapsed()
         stream = self._stream(grant, work, watch.guard)
@@ -173,13 +178,13 @@
             state = error.state
             raise
         finally:
-            self.interruptions.on_end(watch)
+            self.running_attempts.on_end(watch)
             self._on_end(grant, work, state, began)
 
     def _on_end(
         self,
         grant: Grant,
-        work: Work,
+        work: RequestProgress,
         state: AttemptState,
         began: timedelta,
     ) -> None:
@@ -190,8 +195,8 @@
     async def _stream(
         self,
         grant: Grant,
-        work: Work,
-        guard: Guard,
+        work: RequestProgress,
+        guard: InterruptScope,
     ) -> AsyncIterator[Chunk]:
         sent = replace(work.request, request_id=work.attempt_id)
         tokens = tuple(work.assembly.tokens)
@@ -229,7 +234,7 @@
     def _count(
         self,
         grant: Grant,
-        work: Work,
+        work: RequestProgress,
         state: AttemptState,
         began: timedelta,
     ) -> None:
@@ -250,7 +255,7 @@
             figures,
         )
 
-    def _on_failed(self, work: Work, error: AttemptError) -> None:
+    def _on_failed(self, work: RequestProgress, error: AttemptError) -> None:
         self._counters.add('attempts_failed', state=error.state.value)
         progressed = work.on_failed(error)
         if error.state is not AttemptState.refused:
@@ -267,7 +272,7 @@
 
     def _on_interrupted(
         self,
-        work: Work,
+        work: RequestProgress,
         interruption: AttemptInterruptedError,
     ) -> None:
         kind = interruption.kind
--- a/quetzalcourse/coordination/requests/idempotency.py
+++ b/quetzalcourse/coordination/requests/idempotency.py
@@ -85,7 +85,7 @@
     version: int
 
 
-class Claims:
+class IdempotencyStore:
     """Claims idempotency keys in the platform's table.
 
     :param table: shared by all daemons, so that a caller who asks again
--- a/quetzalcourse/coordination/requests/guard.py
+++ b/quetzalcourse/coordination/requests/interrupt_scope.py
@@ -37,7 +37,7 @@
         self.kind = kind
 
 
-class Guard:
+class InterruptScope:
     """Lets other tasks interrupt the waits of one attempt.
 
     Between two waits the attempt's task runs its caller's code, such as a
--- a/quetzalcourse/coordination/requests/work.py
+++ b/quetzalcourse/coordination/requests/request_progress.py
@@ -11,7 +11,9 @@
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 
 if TYPE_CHECKING:
-    from quetzalcourse.coordination.requests.assembly import Assembly
+    from quetzalcourse.coordination.requests.chunk_assembler import (
+        ChunkAssembler,
+    )
     from quetzalcourse.coordination.requests.attempt import AttemptError
     from quetzalcourse.state.generation import GenerationRequest
 
@@ -30,14 +32,16 @@
     return f'{request_id}.{number}' if number else request_id
 
 
-class Work:
+class RequestProgress:
     """A request for tokens and what its attempts came to.
 
     :param request: what to run.
     :param assembly: the answer so far.
     """
 
-    def __init__(self, request: GenerationRequest, assembly: Assembly) -> None:
+    def __init__(
+        self, request: GenerationRequest, assembly: ChunkAssembler
+    ) -> None:
         """Begin before the first attempt."""
         self.request = request
         self.assembly = assembly
@@ -84,7 +88,7 @@
         """Learn that this daemon stopped an attempt."""
         self._ran = True
 
-    def correct(self, error: RefusedError) -> RefusedError:
+    def adjust_not_run(self, error: RefusedError) -> RefusedError:
         """Make a refusal of the next attempt true for the whole request.
 
         An earlier attempt may have run, which whoever refuses the next one
--- a/quetzalcourse/coordination/requests/interruptions.py
+++ b/quetzalcourse/coordination/requests/running_attempts.py
@@ -6,7 +6,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.requests.guard import Guard, Interruption
+from quetzalcourse.coordination.requests.interrupt_scope import (
+    InterruptScope,
+    Interruption,
+)
 from quetzalcourse.state.generation import TrafficClass
 
 if TYPE_CHECKING:
@@ -17,7 +20,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Watch:
+class RunningAttempt:
     """An attempt that can be interrupted.
 
     :param guard: what the attempt waits with.
@@ -25,11 +28,11 @@
     """
 
     grant: Grant
-    guard: Guard
+    guard: InterruptScope
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
 
-class Interruptions:
+class RunningAttempts:
     """Knows the running attempts and interrupts them.
 
     :param clock: tells when a deadline has passed.
@@ -38,12 +41,14 @@
     def __init__(self, clock: Clock) -> None:
         """Begin without attempts."""
         self._clock = clock
-        self._watches: dict[str, set[Watch]] = {}
+        self._watches: dict[str, set[RunningAttempt]] = {}
 
-    def on_begin(self, grant: Grant, request: GenerationRequest) -> Watch:
+    def on_begin(
+        self, grant: Grant, request: GenerationRequest
+    ) -> RunningAttempt:
         """Watch over an attempt that begins."""
-        guard = Guard(grant.traffic_class)
-        watch = Watch(grant, guard)
+        guard = InterruptScope(grant.traffic_class)
+        watch = RunningAttempt(grant, guard)
         self._watches.setdefault(grant.upstream.name, set()).add(watch)
         loop = asyncio.get_running_loop()
         watch.tasks.append(loop.create_task(self._expire(request, guard)))
@@ -51,7 +56,7 @@
             watch.tasks.append(loop.create_task(_revoke(grant, guard)))
         return watch
 
-    def on_end(self, watch: Watch) -> None:
+    def on_end(self, watch: RunningAttempt) -> None:
         """Forget an attempt that ended."""
         for task in watch.tasks:
             task.cancel()
@@ -69,11 +74,13 @@
             if training or departure.humans:
                 guard.interrupt(Interruption.leaving)
 
-    async def _expire(self, request: GenerationRequest, guard: Guard) -> None:
+    async def _expire(
+        self, request: GenerationRequest, guard: InterruptScope
+    ) -> None:
         await self._clock.sleep(request.deadline - self._clock.elapsed())
         guard.interrupt(Interruption.late)
 
 
-async def _revoke(grant: Grant, guard: Guard) -> None:
+async def _revoke(grant: Grant, guard: InterruptScope) -> None:
     await grant.revoked.wait()
     guard.interrupt(Interruption.revoked)
--- a/quetzalcourse/coordination/requests/services.py
+++ b/quetzalcourse/coordination/requests/service_dispatcher.py
@@ -39,8 +39,8 @@
     :param method: HTTP method.
     :param deadline: time since boot at which the caller stops waiting.
     :param replayable: whether the body can be sent once more.
-    :param ran: whether an attempt may have been run.
-    :param answering: whether the caller has got a part of the answer.
+    :param may_have_run: whether an attempt may have been run.
+    :param answer_started: whether the caller has got a part of the answer.
     :param state: what is known of the last attempt.
     :param began: time since boot at which the last attempt began.
     """
@@ -50,15 +50,15 @@
     client_account: str
     deadline: timedelta | None = None
     replayable: bool = True
-    ran: bool = False
-    answering: bool = False
+    may_have_run: bool = False
+    answer_started: bool = False
     state: AttemptState = AttemptState.not_sent
     attempts: int = 0
     failed: set[str] = field(default_factory=set)
     began: timedelta = timedelta(0)
 
 
-class Services:
+class ServiceDispatcher:
     """Finds upstreams for calls to plain services.
 
     :param health: knows which upstreams fail.
@@ -125,7 +125,9 @@
             try:
                 grant = await self._admission.acquire(slot)
             except RefusedError as error:
-                raise RefusedError(correct(error.refusal, call)) from error
+                raise RefusedError(
+                    adjust_not_run(error.refusal, call)
+                ) from error
             name = grant.upstream.name
             if self._health.admits(name) and self._router.is_open(name):
                 self._begin(call, name)
@@ -158,13 +160,13 @@
         """
         peer = grant.upstream.name
         connected = call.state not in NEVER_RAN
-        call.ran = call.ran or connected
+        call.may_have_run = call.may_have_run or connected
         call.failed.add(peer)
         self._health.on_failure(peer, connected=connected)
         if not self._may_repeat(call):
             raise RefusedError(_refuse_failed(call, peer))
 
-    def on_unwell(self, grant: Grant) -> None:
+    def on_unhealthy(self, grant: Grant) -> None:
         """Learn that an upstream answered that it is not well."""
         self._health.on_failure(grant.upstream.name, connected=True)
 
@@ -184,7 +186,7 @@
         return tuple(sorted(fresh or admitted, key=self._admission.running))
 
     def _may_repeat(self, call: ServiceCall) -> bool:
-        if call.answering or not call.replayable:
+        if call.answer_started or not call.replayable:
             return False
         if call.attempts >= MAX_ATTEMPTS or self._is_late(call):
             return False
@@ -202,29 +204,29 @@
         return Refusal(
             RefusalCode.upstream_failed,
             'No upstream of the service can be tried now.',
-            not_run=not call.ran,
+            not_run=not call.may_have_run,
             retry_after=max(wait, SHORTEST_WAIT),
             step='route',
         )
 
 
-def correct(refusal: Refusal, call: ServiceCall) -> Refusal:
+def adjust_not_run(refusal: Refusal, call: ServiceCall) -> Refusal:
     """Make a refusal of one attempt true for the whole call.
 
     An earlier attempt may have run, which whoever refuses the next one
     doesn't know.
     """
-    return replace(refusal, not_run=refusal.not_run and not call.ran)
+    return replace(refusal, not_run=refusal.not_run and not call.may_have_run)
 
 
 def _refuse_failed(call: ServiceCall, peer: str) -> Refusal:
     code = RefusalCode.upstream_failed
-    if call.ran:
+    if call.may_have_run:
         code = RefusalCode.outcome_unknown
     return Refusal(
         code,
         'The service gave no whole answer.',
-        not_run=not call.ran,
+        not_run=not call.may_have_run,
         step='call service',
         peer=peer,
     )
--- a/quetzalcourse/coordination/service_levels/burn.py
+++ b/quetzalcourse/coordination/service_levels/burn.py
@@ -110,7 +110,7 @@
         window: events.windows.get(window, EventCount()).bad_share / allowed
         for window in Window
     }
-    worst = find_worst(events.client_accounts)
+    worst = find_worst_account(events.client_accounts)
     worst_count = events.client_accounts.get(worst, EventCount())
     return LevelBurn(
         service_level=level.name,
@@ -119,13 +119,13 @@
         events=total,
         budget_left=1 - total.bad_share / allowed,
         rates=rates,
-        alert=judge_rates(rates),
+        alert=choose_alert(rates),
         worst_account=worst,
         worst_share=1 - worst_count.bad_share,
     )
 
 
-def find_worst(accounts: Mapping[str, EventCount]) -> str:
+def find_worst_account(accounts: Mapping[str, EventCount]) -> str:
     """Name the worst-served account, empty if there are no events.
 
     :param accounts: events by account; ties go to the first by name.
@@ -134,7 +134,7 @@
     return max(served, key=lambda name: accounts[name].bad_share, default='')
 
 
-def judge_rates(rates: Mapping[Window, float]) -> Alert:
+def choose_alert(rates: Mapping[Window, float]) -> Alert:
     """Choose the most urgent rule that both windows meet."""
     for rule in ALERT_RULES:
         slowest = min(rates[rule.long_window], rates[rule.short_window])
--- a/quetzalcourse/coordination/service_levels/burn_ledger.py
+++ b/quetzalcourse/coordination/service_levels/daily_event_sums.py
@@ -11,7 +11,9 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.service_levels.burn import LevelEvents
-from quetzalcourse.coordination.service_levels.service_levels import EVENTS
+from quetzalcourse.coordination.service_levels.service_levels import (
+    EVENTS_METRIC,
+)
 from quetzalcourse.state.rows import StoreFault, Transaction, Write
 from quetzalcourse.state.service_levels import EventCount
 
@@ -45,7 +47,7 @@
     return f'{BURN_PREFIX}{day.isoformat()}/{incarnation}'
 
 
-class BurnLedger:
+class DailySumsWriter:
     """Writes this daemon's sums of the day into the platform's table.
 
     The row belongs to this incarnation alone and holds the whole sums of the
@@ -109,7 +111,9 @@
 
     def _sum_day(self) -> DaySums:
         sums: dict[str, dict[str, EventCount]] = {}
-        for labels, amount in self._counters.counts.get(EVENTS, {}).items():
+        for labels, amount in self._counters.counts.get(
+            EVENTS_METRIC, {}
+        ).items():
             added = amount - self._before.get(labels, 0)
             if not added:
                 continue
--- a/quetzalcourse/coordination/service_levels/human_service.py
+++ b/quetzalcourse/coordination/service_levels/human_requests.py
@@ -13,7 +13,7 @@
     from collections.abc import AsyncIterator, Iterator
 
     from quetzalcourse.coordination.service_levels.service_levels import (
-        ServiceLevels,
+        ServiceLevelTracker,
     )
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.generation import Chunk
@@ -37,18 +37,18 @@
 )
 
 
-class HumanService:
+class HumanRequestTracker:
     """Watches the requests of human callers.
 
     :param levels: counts what the requests came to.
     """
 
-    def __init__(self, levels: ServiceLevels, clock: Clock) -> None:
+    def __init__(self, levels: ServiceLevelTracker, clock: Clock) -> None:
         """Keep where the events go."""
         self._levels = levels
         self._clock = clock
 
-    async def watch(
+    async def track_stream(
         self,
         client_account: str,
         chunks: AsyncIterator[Chunk],
--- a/quetzalcourse/coordination/service_levels/service_levels.py
+++ b/quetzalcourse/coordination/service_levels/service_levels.py
@@ -22,9 +22,9 @@
 
 SLOT = timedelta(seconds=30)
 LONGEST = max(WINDOW_LENGTHS.values())
-EVENTS = 'service_level_events'
+EVENTS_METRIC = 'service_level_events'
 ALL_ACCOUNTS = 'all'
-WINDOW_EVENTS = 'service_level_window_events'
+WINDOW_EVENTS_METRIC = 'service_level_window_events'
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
         )
 
 
-class ServiceLevels:
+class ServiceLevelTracker:
     """Sorts events into good and bad for every service level.
 
     :param counters: where the counts are published.
@@ -142,7 +142,7 @@
     ) -> None:
         for outcome, amount in (('good', count.good), ('bad', count.bad)):
             self._counters.set(
-                WINDOW_EVENTS,
+                WINDOW_EVENTS_METRIC,
                 amount,
                 service_level=name,
                 window=window.value,
@@ -158,7 +158,7 @@
     ) -> None:
         self._histories[level.name].record(good=good)
         self._counters.add(
-            EVENTS,
+            EVENTS_METRIC,
             service_level=level.name,
             client_account=client_account,
             outcome='good' if good else 'bad',
--- a/quetzalcourse/coordination/slots/admission.py
+++ b/quetzalcourse/coordination/slots/admission.py
@@ -8,10 +8,10 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.slots.account_limits import AccountLimits
-from quetzalcourse.coordination.slots.deadlines import DeadlineWatch
+from quetzalcourse.coordination.slots.deadline_timer import DeadlineTimer
 from quetzalcourse.coordination.slots.fair_queue import FairQueue
 from quetzalcourse.coordination.slots.held_slots import HeldSlots
-from quetzalcourse.coordination.slots.lone import build_lone
+from quetzalcourse.coordination.slots.standalone import build_standalone_policy
 from quetzalcourse.coordination.slots.ownership import hash_name
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.state.counters import Counters
@@ -56,7 +56,7 @@
         """Begin without upstreams."""
         self.limits = AccountLimits()
         self._clock = clock
-        self._policy = policy or build_lone(clock)
+        self._policy = policy or build_standalone_policy(clock)
         self._counters = counters or Counters()
         self._max_waiting = max_waiting
         self._upstreams: dict[str, Upstream] = {}
@@ -64,7 +64,7 @@
         self._queue = FairQueue()
         self._held = HeldSlots()
         self._orders = itertools.count()
-        self._deadlines = DeadlineWatch(clock, self._expire)
+        self._deadlines = DeadlineTimer(clock, self._expire)
         self._policy.listen(self.on_free, self.on_revoked)
 
     def on_manifest(self, manifest: Manifest) -> None:
--- a/quetzalcourse/coordination/slots/deadlines.py
+++ b/quetzalcourse/coordination/slots/deadline_timer.py
@@ -14,7 +14,7 @@
 SHORTEST_PAUSE = timedelta(milliseconds=10)
 
 
-class DeadlineWatch:
+class DeadlineTimer:
     """One task that sleeps until the earliest deadline.
 
     :param expire: ends what is past its deadline and returns the earliest
--- a/quetzalcourse/coordination/slots/token_ledger.py
+++ b/quetzalcourse/coordination/slots/decayed_token_counts.py
@@ -16,7 +16,7 @@
 LEAST = 0.000001
 
 
-class TokenLedger:
+class DecayedTokenCounts:
     """Sums whose terms halve with every half-life.
 
     New tokens are scaled up where old ones would be scaled down, so only
--- a/quetzalcourse/coordination/slots/owner_grants.py
+++ b/quetzalcourse/coordination/slots/distributed_slot_policy.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.slots.demand import (
+from quetzalcourse.coordination.slots.upstream_choice import (
     PATIENCE,
     choose_upstream,
     is_due,
@@ -17,7 +17,7 @@
     list_fallback,
 )
 from quetzalcourse.coordination.slots.ownership import find_owner, hash_name
-from quetzalcourse.coordination.slots.slot_usage import SlotUsage
+from quetzalcourse.coordination.slots.local_slot_state import LocalSlotState
 from quetzalcourse.state.generation import TrafficClass
 from quetzalcourse.state.slots import SlotTerms
 
@@ -39,7 +39,7 @@
 TICKS_PER_RENEWAL = 4
 
 
-class OwnerGrants:
+class DistributedSlotPolicy:
     """Asks owners for slots, and grants those of the upstreams owned here.
 
     Reports to this daemon's own upstreams take no message and no time. The
@@ -63,7 +63,7 @@
         self._terms = terms or SlotTerms()
         self.owned = OwnedSlots(members.own, self._terms)
         self._upstreams: dict[str, Upstream] = {}
-        self._usages: dict[str, SlotUsage] = {}
+        self._usages: dict[str, LocalSlotState] = {}
         self._waiters: dict[int, SlotWaiter] = {}
         self._humans: dict[int, SlotWaiter] = {}
         self._due: set[str] = set()
@@ -169,7 +169,7 @@
         else:
             self._schedule(name)
 
-    def _offer(self, usage: SlotUsage) -> None:
+    def _offer(self, usage: LocalSlotState) -> None:
         # Runs after the slot could be used again here: what is still idle
         # then is what others may be waiting for.
         now = self._clock.elapsed()
@@ -296,15 +296,15 @@
             self._on_free(usage.upstream)
             self._offer(usage)
 
-    def _find_usage(self, upstream: str) -> SlotUsage:
+    def _find_usage(self, upstream: str) -> LocalSlotState:
         usage = self._usages.get(upstream)
         if usage is None:
-            usage = SlotUsage(upstream, self._terms)
+            usage = LocalSlotState(upstream, self._terms)
             self._usages[upstream] = usage
             self._place(usage, self._clock.elapsed())
         return usage
 
-    def _place(self, usage: SlotUsage, now: timedelta) -> bool:
+    def _place(self, usage: LocalSlotState, now: timedelta) -> bool:
         upstream = self._upstreams.get(usage.upstream)
         if upstream is None:
             return usage.follow_owner('', 0, now)
--- a/quetzalcourse/coordination/slots/load_watch.py
+++ b/quetzalcourse/coordination/slots/engine_load_monitor.py
@@ -20,7 +20,7 @@
 LOAD_INTERVAL = timedelta(seconds=1)
 
 
-class LoadWatch:
+class EngineLoadMonitor:
     """Tells owners what their engines say they hold.
 
     :param control: asks the engines.
@@ -71,4 +71,4 @@
         owner.on_load(busy, self._clock.elapsed())
         name = engine.name
         self._counters.set('engine_queue', report.queued, upstream=name)
-        self._counters.set('slots_foreign', owner.foreign, upstream=name)
+        self._counters.set('slots_foreign', owner.foreign_slots, upstream=name)
--- a/quetzalcourse/coordination/slots/division.py
+++ b/quetzalcourse/coordination/slots/fair_share.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class AccountDemand:
     """What one account could use through one daemon.
 
     :param wanted: requests that run or wait.
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Target:
+class SlotTarget:
     """Slots that a daemon should come to have."""
 
     human: int = 0
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accounts:
+class FairnessState:
     """What makes a division fair.
 
     :param weights: weights of the accounts in the manifest, else one.
@@ -110,9 +110,9 @@
 def divide_slots(
     slots: int,
     headroom: int,
-    claims: list[Claim],
-    accounts: Accounts,
-) -> dict[str, Target]:
+    claims: list[AccountDemand],
+    accounts: FairnessState,
+) -> dict[str, SlotTarget]:
     """Say how many slots each daemon should have.
 
     Humans come first; training shares what is left but for the headroom.
@@ -120,7 +120,7 @@
     :param slots: requests that the upstream runs at once.
     :param headroom: slots that training leaves free.
     """
-    targets: dict[str, Target] = defaultdict(Target)
+    targets: dict[str, SlotTarget] = defaultdict(SlotTarget)
     humans = _select(claims, TrafficClass.human)
     for requester, human in _divide_class(slots, humans, accounts).items():
         targets[requester].human = human
@@ -133,7 +133,9 @@
     return targets
 
 
-def _select(claims: list[Claim], traffic_class: TrafficClass) -> list[Claim]:
+def _select(
+    claims: list[AccountDemand], traffic_class: TrafficClass
+) -> list[AccountDemand]:
     return [
         claim for claim in claims if claim.key.traffic_class is traffic_class
     ]
@@ -141,10 +143,10 @@
 
 def _divide_class(
     capacity: int,
-    claims: list[Claim],
-    accounts: Accounts,
+    claims: list[AccountDemand],
+    accounts: FairnessState,
 ) -> dict[str, int]:
-    by_account: dict[LoadKey, list[Claim]] = defaultdict(list)
+    by_account: dict[LoadKey, list[AccountDemand]] = defaultdict(list)
     for claim in claims:
         by_account[claim.key].append(claim)
     wanted = {
@@ -165,7 +167,7 @@
 def _divide_accounts(
     capacity: int,
     wanted: Mapping[LoadKey, int],
-    accounts: Accounts,
+    accounts: FairnessState,
 ) -> dict[LoadKey, int]:
     weights = _correct_weights(wanted, accounts)
     shares = fill_fairly(capacity, wanted, weights)
@@ -178,7 +180,7 @@
 
 def _correct_weights(
     wanted: Mapping[LoadKey, int],
-    accounts: Accounts,
+    accounts: FairnessState,
 ) -> dict[LoadKey, float]:
     # A slot makes fewer tokens for an account whose prompts are long, so
     # equal slots are not equal tokens. Whoever got less than its share of
@@ -200,7 +202,7 @@
     return min(max(weight * scale / served, MIN_FACTOR), MAX_FACTOR)
 
 
-def _divide_daemons(seats: int, group: list[Claim]) -> dict[str, int]:
+def _divide_daemons(seats: int, group: list[AccountDemand]) -> dict[str, int]:
     wanted = {claim.requester: claim.wanted for claim in group}
     total = sum(wanted.values())
     if seats >= total:
--- a/quetzalcourse/coordination/slots/slot_usage.py
+++ b/quetzalcourse/coordination/slots/local_slot_state.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class SlotUsage:
+class LocalSlotState:
     """A daemon's side of the exchange about one upstream.
 
     :param owner: incarnation of the owner, empty if there is none.
--- a/quetzalcourse/coordination/slots/owned_slots.py
+++ b/quetzalcourse/coordination/slots/owned_slots.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.slots.ownership import (
-    count_fallback,
+    count_fallback_slots,
     find_owner,
     rank_members,
 )
@@ -134,6 +134,8 @@
     """List the fallback shares of the members, by incarnation."""
     ranked = rank_members(upstream.name, members)
     return {
-        member.incarnation: count_fallback(upstream.slots, rank, len(ranked))
+        member.incarnation: count_fallback_slots(
+            upstream.slots, rank, len(ranked)
+        )
         for rank, member in enumerate(ranked)
     }
--- a/quetzalcourse/coordination/slots/ownership.py
+++ b/quetzalcourse/coordination/slots/ownership.py
@@ -29,15 +29,15 @@
 
     :param members: live members of the upstream's data centre.
     """
-    return sorted(members, key=partial(weigh_member, upstream))
+    return sorted(members, key=partial(rendezvous_key, upstream))
 
 
 def find_owner(upstream: str, members: Sequence[Member]) -> Member | None:
     """Name the owner of an upstream, ``None`` if there is no member."""
-    return min(members, key=partial(weigh_member, upstream), default=None)
+    return min(members, key=partial(rendezvous_key, upstream), default=None)
 
 
-def count_fallback(slots: int, rank: int, members: int) -> int:
+def count_fallback_slots(slots: int, rank: int, members: int) -> int:
     """Count the slots that a daemon may use while no owner answers.
 
     All shares together stay below a quarter of the slots (but for upstreams
@@ -52,7 +52,7 @@
     return each + int(rank < rest)
 
 
-def weigh_member(upstream: str, member: Member) -> tuple[bool, int]:
+def rendezvous_key(upstream: str, member: Member) -> tuple[bool, int]:
     """Weigh a member for one upstream; the lightest owns it."""
     name = f'{upstream}/{member.incarnation}'
     return member.leaving, xxhash.xxh3_64_intdigest(name.encode())
--- a/quetzalcourse/coordination/slots/slot_holder.py
+++ b/quetzalcourse/coordination/slots/requester_state.py
@@ -6,12 +6,12 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.slots.division import Claim
+from quetzalcourse.coordination.slots.fair_share import AccountDemand
 from quetzalcourse.state.generation import TrafficClass
 from quetzalcourse.state.slots import Allowance, SlotReport
 
 if TYPE_CHECKING:
-    from quetzalcourse.coordination.slots.division import Target
+    from quetzalcourse.coordination.slots.fair_share import SlotTarget
 
 NEVER = timedelta(days=-1)
 RENEWAL_PART = 0.75
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class SlotHolder:
+class RequesterState:
     """One daemon's reports and the allowances that were sent to it.
 
     :param name: incarnation of the daemon.
@@ -53,7 +53,7 @@
         report: SlotReport,
         now: timedelta,
         term: timedelta,
-    ) -> SlotHolder:
+    ) -> RequesterState:
         """Begin with the first report, which tells what it still holds.
 
         An owner before this one may have allowed that, and nothing is free
@@ -125,11 +125,11 @@
         ]
         return max(counts + [self.count_running(TrafficClass.training)])
 
-    def list_claims(self, now: timedelta) -> list[Claim]:
+    def list_claims(self, now: timedelta) -> list[AccountDemand]:
         """List what each account could use through this daemon."""
         silent = now - self.heard
         return [
-            Claim(
+            AccountDemand(
                 self.name,
                 load.key,
                 load.running + load.waiting,
@@ -140,7 +140,7 @@
 
     def awaits(
         self,
-        goal: Target,
+        goal: SlotTarget,
         now: timedelta,
         renewal: timedelta,
     ) -> bool:
@@ -160,7 +160,7 @@
 
     def allow(
         self,
-        target: Target,
+        target: SlotTarget,
         revoke: int,
         term: timedelta,
         *,
--- a/quetzalcourse/coordination/slots/slot_owner.py
+++ b/quetzalcourse/coordination/slots/slot_owner.py
@@ -7,19 +7,21 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.slots.division import (
-    Accounts,
-    Target,
+from quetzalcourse.coordination.slots.fair_share import (
+    FairnessState,
+    SlotTarget,
     divide_slots,
 )
-from quetzalcourse.coordination.slots.slot_holder import SlotHolder
-from quetzalcourse.coordination.slots.token_ledger import TokenLedger
+from quetzalcourse.coordination.slots.requester_state import RequesterState
+from quetzalcourse.coordination.slots.decayed_token_counts import (
+    DecayedTokenCounts,
+)
 from quetzalcourse.state.generation import TrafficClass
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from quetzalcourse.coordination.slots.division import Claim
+    from quetzalcourse.coordination.slots.fair_share import AccountDemand
     from quetzalcourse.state.manifest import Upstream
     from quetzalcourse.state.slots import Allowance, SlotReport, SlotTerms
 
@@ -40,7 +42,7 @@
 
     slots: int
     training: int
-    targets: Mapping[str, Target]
+    targets: Mapping[str, SlotTarget]
     revoked: Mapping[str, int]
     contended: bool
 
@@ -53,7 +55,7 @@
     training: int
 
     @classmethod
-    def read(cls, holder: SlotHolder, now: timedelta) -> _Room:
+    def read(cls, holder: RequesterState, now: timedelta) -> _Room:
         """Read what a daemon may be using."""
         return cls(
             holder.count_committed(now), holder.count_committed_training(now)
@@ -88,13 +90,13 @@
         fallback: Mapping[str, int],
     ) -> None:
         """Begin without reports."""
-        self.foreign = 0.0
+        self.foreign_slots = 0.0
         self._upstream = upstream
         self._terms = terms
         self._settles = settles
         self._fallback = fallback
-        self._holders: dict[str, SlotHolder] = {}
-        self._ledger = TokenLedger()
+        self._holders: dict[str, RequesterState] = {}
+        self._ledger = DecayedTokenCounts()
         self._peaks: list[tuple[timedelta, int]] = []
         self._weights: Mapping[int, float] = {}
 
@@ -127,7 +129,7 @@
         """
         holder = self._holders.get(requester)
         if holder is None:
-            self._holders[requester] = SlotHolder.meet(
+            self._holders[requester] = RequesterState.meet(
                 requester, report, now, self._terms.term
             )
         elif not holder.accept(report, now):
@@ -155,9 +157,11 @@
         self._peaks.append((now, self.count_committed(now)))
         known = max(committed for _, committed in self._peaks)
         unknown = max(busy - known, 0)
-        self.foreign += OBSERVATION_WEIGHT * (unknown - self.foreign)
-        if self.foreign < OBSERVATION_WEIGHT:
-            self.foreign = 0.0
+        self.foreign_slots += OBSERVATION_WEIGHT * (
+            unknown - self.foreign_slots
+        )
+        if self.foreign_slots < OBSERVATION_WEIGHT:
+            self.foreign_slots = 0.0
 
     def count_committed(self, now: timedelta) -> int:
         """Count the slots that all daemons together may be using."""
@@ -207,10 +211,10 @@
         return sent
 
     def _plan(self, committed: int, now: timedelta) -> _Plan:
-        slots = max(self._upstream.slots - math.ceil(self.foreign), 0)
+        slots = max(self._upstream.slots - math.ceil(self.foreign_slots), 0)
         headroom = min(self._upstream.human_headroom, slots)
         claims = self._list_claims(now)
-        accounts = Accounts(self._weights, self._ledger.read())
+        accounts = FairnessState(self._weights, self._ledger.read())
         targets = divide_slots(slots, headroom, claims, accounts)
         missing = sum(
             max(target.total - self._holders[name].count_committed(now), 0)
@@ -227,7 +231,7 @@
             _add_advance(training, targets)
         return _Plan(slots, training, targets, revoked, contended=contended)
 
-    def _list_claims(self, now: timedelta) -> list[Claim]:
+    def _list_claims(self, now: timedelta) -> list[AccountDemand]:
         return [
             claim
             for holder in self._holders.values()
@@ -245,7 +249,7 @@
             if silent >= limit or (gone and silent >= self._terms.term):
                 self._holders.pop(name)
 
-    def _sort_holders(self, plan: _Plan) -> list[SlotHolder]:
+    def _sort_holders(self, plan: _Plan) -> list[RequesterState]:
         targets = plan.targets
         return sorted(
             self._holders.values(),
@@ -257,11 +261,11 @@
 
     def _bound(
         self,
-        holder: SlotHolder,
-        target: Target,
+        holder: RequesterState,
+        target: SlotTarget,
         room: _Room,
         now: timedelta,
-    ) -> Target:
+    ) -> SlotTarget:
         committed = _Room.read(holder, now)
         most = committed.total + max(room.total, 0)
         training = committed.training + max(room.training, 0)
@@ -273,13 +277,13 @@
         # humans get theirs beside them, not after them.
         above = holder.count_running(TrafficClass.training) - target.training
         human = min(target.human + max(above, 0), most)
-        return Target(human, min(target.training, training, most - human))
+        return SlotTarget(human, min(target.training, training, most - human))
 
     def _choose_revoked(
         self,
         slots: int,
         headroom: int,
-        targets: Mapping[str, Target],
+        targets: Mapping[str, SlotTarget],
     ) -> dict[str, int]:
         running = {
             name: holder.count_running(TrafficClass.training)
@@ -304,8 +308,8 @@
 
 def _add_spares(
     slots: int,
-    targets: Mapping[str, Target],
-    holders: list[SlotHolder],
+    targets: Mapping[str, SlotTarget],
+    holders: list[RequesterState],
 ) -> None:
     left = slots - sum(target.total for target in targets.values())
     wanted = {holder.name: holder.report.spares for holder in holders}
@@ -317,7 +321,7 @@
                 left -= 1
 
 
-def _add_advance(training: int, targets: Mapping[str, Target]) -> None:
+def _add_advance(training: int, targets: Mapping[str, SlotTarget]) -> None:
     # Samples that start and end one by one would each cost a report and an
     # answer; while nobody waits, a few slots more cost nothing.
     left = training - sum(target.training for target in targets.values())
@@ -329,8 +333,8 @@
 
 
 def _must_tell(
-    holder: SlotHolder,
-    goal: Target,
+    holder: RequesterState,
+    goal: SlotTarget,
     revoke: int,
     *,
     contended: bool,
--- a/quetzalcourse/coordination/slots/lone.py
+++ b/quetzalcourse/coordination/slots/standalone.py
@@ -4,7 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.slots.owner_grants import OwnerGrants
+from quetzalcourse.coordination.slots.distributed_slot_policy import (
+    DistributedSlotPolicy,
+)
 from quetzalcourse.state.members import Member
 
 if TYPE_CHECKING:
@@ -13,15 +15,15 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.slots import Allowance, SlotReport
 
-LONE = Member('lone', 'lone', '', '')
+STANDALONE_MEMBER = Member('lone', 'lone', '', '')
 
 
-class LoneMembers:
+class StandaloneMembers:
     """Port ``MemberView`` with this daemon only, in every data centre."""
 
     def __init__(self) -> None:
         """Begin, and never change."""
-        self.own = LONE
+        self.own = STANDALONE_MEMBER
 
     def list_live(self, data_centre: str = '') -> list[Member]:
         """List this daemon."""
@@ -31,7 +33,7 @@
         """Take no note: nothing changes."""
 
 
-class LoneLink:
+class NullSlotLink:
     """Port ``SlotLink`` to nobody."""
 
     def send_reports(
@@ -56,6 +58,6 @@
         """Take no note: nothing is ever received."""
 
 
-def build_lone(clock: Clock) -> OwnerGrants:
+def build_standalone_policy(clock: Clock) -> DistributedSlotPolicy:
     """Build the policy of a daemon that owns every upstream."""
-    return OwnerGrants(LoneMembers(), LoneLink(), clock)
+    return DistributedSlotPolicy(StandaloneMembers(), NullSlotLink(), clock)
--- a/quetzalcourse/coordination/slots/demand.py
+++ b/quetzalcourse/coordination/slots/upstream_choice.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from quetzalcourse.coordination.slots.slot_usage import SlotUsage
+    from quetzalcourse.coordination.slots.local_slot_state import LocalSlotState
     from quetzalcourse.state.manifest import Upstream
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.slots import SlotWaiter
@@ -39,7 +39,7 @@
     waiter: SlotWaiter,
     upstreams: Mapping[str, Upstream],
     own: Member,
-    find_usage: Callable[[str], SlotUsage],
+    find_usage: Callable[[str], LocalSlotState],
 ) -> str | None:
     """Choose the next upstream to ask.
 
@@ -55,8 +55,8 @@
         if name in upstreams and name not in waiter.asked
     ]
     askable = [usage for usage in usages if usage.owner]
-    near: list[SlotUsage] = []
-    far: list[SlotUsage] = []
+    near: list[LocalSlotState] = []
+    far: list[LocalSlotState] = []
     for usage in askable:
         centre = upstreams[usage.upstream].data_centre
         (near if centre == own.data_centre else far).append(usage)
@@ -71,7 +71,7 @@
 def _rank_near(
     upstreams: Mapping[str, Upstream],
     own: str,
-    usage: SlotUsage,
+    usage: LocalSlotState,
 ) -> float:
     # Each pair of a daemon and an owner exchanges messages as long as it is
     # in use. Spread over all owners, they would take more than all traffic
@@ -83,7 +83,9 @@
     return detour + _rank_load(upstreams, usage)
 
 
-def _rank_load(upstreams: Mapping[str, Upstream], usage: SlotUsage) -> float:
+def _rank_load(
+    upstreams: Mapping[str, Upstream], usage: LocalSlotState
+) -> float:
     busy = usage.total + sum(len(times) for times in usage.waiting.values())
     crowded = usage.allowance is not None and usage.allowance.contended
     return busy / upstreams[usage.upstream].slots + int(crowded)
@@ -91,7 +93,7 @@
 
 def _rank_far(
     upstreams: Mapping[str, Upstream],
-    usage: SlotUsage,
+    usage: LocalSlotState,
 ) -> tuple[float, float]:
     price = upstreams[usage.upstream].price_per_hour
     return (price, _rank_load(upstreams, usage))
--- a/quetzalcourse/coordination/steps/delivery_counts.py
+++ b/quetzalcourse/coordination/steps/delivery_counts.py
@@ -13,7 +13,7 @@
     from collections.abc import Iterable
 
     from quetzalcourse.coordination.service_levels.service_levels import (
-        ServiceLevels,
+        ServiceLevelTracker,
     )
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -33,7 +33,7 @@
 
     clock: Clock
     counters: Counters
-    levels: ServiceLevels
+    levels: ServiceLevelTracker
 
     def on_sealed(
         self,
--- a/quetzalcourse/coordination/steps/step_assembly.py
+++ b/quetzalcourse/coordination/steps/step_assembly.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.service_levels.service_levels import (
-        ServiceLevels,
+        ServiceLevelTracker,
     )
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -46,7 +46,7 @@
     generation: Generator,
     clock: Clock,
     counters: Counters,
-    levels: ServiceLevels,
+    levels: ServiceLevelTracker,
     members: MemberView,
     lengths: LengthMemory | None = None,
     plan: RescuePlan = plan_rescues,
--- a/quetzalcourse/coordination/steps/step_lease.py
+++ b/quetzalcourse/coordination/steps/step_lease.py
@@ -38,7 +38,7 @@
 
     def require(self) -> Condition:
         """Give the condition that fails once another holder took over."""
-        return self._lease.require()
+        return self._lease.fence_condition()
 
     async def renew(self) -> None:
         """Renew the lease.
@@ -48,7 +48,7 @@
 
         :raises StepLostError: if another holder took over.
         """
-        await self._lease.pursue()
+        await self._lease.acquire_or_renew()
         if not self._lease.held or self._lease.token != self.token:
             await self.check()
 
--- a/quetzalcourse/coordination/steps/steps.py
+++ b/quetzalcourse/coordination/steps/steps.py
@@ -215,7 +215,7 @@
 
     async def _pursue(self, spec: StepSpec, lease: Lease) -> bool:
         looks = 0
-        while not await lease.pursue():
+        while not await lease.acquire_or_renew():
             await self._clock.sleep(WATCH_INTERVAL)
             looks += 1
             if looks % OPEN_LOOKS == 0 and not await self._is_open(spec):
--- a/quetzalcourse/coordination/usage/usage_reports.py
+++ b/quetzalcourse/coordination/usage/usage_reports.py
@@ -258,7 +258,7 @@
         writes: tuple[Write, ...],
     ) -> bool:
         answer = await self._table.transact(
-            Transaction((self._lease.require(), *conditions), writes)
+            Transaction((self._lease.fence_condition(), *conditions), writes)
         )
         return answer.is_ok() and answer.unwrap().applied
 
--- a/quetzalcourse/duty_parts.py
+++ b/quetzalcourse/duty_parts.py
@@ -9,7 +9,7 @@
 
 from quetzalcourse.coordination.duties.usage_windows import WindowReporter
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
+from quetzalcourse.coordination.leases.leader_elector import LeaderElector
 from quetzalcourse.coordination.versions.load_orders import LoadOrders
 from quetzalcourse.incarnation import read_vm
 from quetzalcourse.state.lease import LeaseTerms
@@ -44,7 +44,7 @@
     """
 
     lease: Lease
-    keeper: LeaseKeeper
+    keeper: LeaderElector
     orders: LoadOrders
     reporter: WindowReporter
     leadership: timedelta
@@ -63,7 +63,7 @@
         Two daemons that stop one after the other would otherwise pass the
         duty to and fro faster than receivers can tell them apart.
         """
-        self.keeper.retire()
+        self.keeper.stop_renewing()
         if self.lease.held_for > self.leadership:
             await self.keeper.release()
 
@@ -88,7 +88,7 @@
         store.table, wall_clock, LEASE_KEY, incarnation, TERMS, FENCE_KEY
     )
     lease.is_predecessor = partial(_is_predecessor, incarnation)
-    keeper = LeaseKeeper(lease, presence, wall_clock, counters)
+    keeper = LeaderElector(lease, presence, wall_clock, counters)
     orders = LoadOrders(
         deployment.open_control(),
         lease,
--- a/quetzalcourse/lease_parts.py
+++ b/quetzalcourse/lease_parts.py
@@ -9,7 +9,7 @@
 from quetzalcourse.coordination.fleet.fleet_demand import DemandShares
 from quetzalcourse.coordination.fleet.fleet_keeper import FleetKeeper
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
+from quetzalcourse.coordination.leases.leader_elector import LeaderElector
 from quetzalcourse.coordination.fleet.orders import FleetOrders
 from quetzalcourse.coordination.fleet.spending import Spending
 from quetzalcourse.coordination.usage.usage import UsageCounter
@@ -41,7 +41,7 @@
 class LeaseParts:
     """Leases of the deployment, and the work that their holders do."""
 
-    keepers: tuple[LeaseKeeper, ...]
+    keepers: tuple[LeaderElector, ...]
     usage: UsageCounter
     copies: UsageCopies
     reporter: UsageReporter
@@ -72,7 +72,7 @@
         once and its orders must not meet those of this one.
         """
         for keeper in self.keepers:
-            keeper.retire()
+            keeper.stop_renewing()
         await self.reporter.in_flight.finish()
         await self.orders.in_flight.finish()
         for keeper in self.keepers:
@@ -149,7 +149,7 @@
         counters,
     )
     keepers = tuple(
-        LeaseKeeper(lease, members, clock, counters)
+        LeaderElector(lease, members, clock, counters)
         for lease in (usage_lease, order_lease)
     )
     return LeaseParts(keepers, usage, copies, reporter, demand, orders, fleet)
--- a/quetzalcourse/protocol/exposition.py
+++ b/quetzalcourse/protocol/exposition.py
@@ -8,8 +8,8 @@
 
 from quetzalcourse.coordination.service_levels.burn import LevelEvents
 from quetzalcourse.coordination.service_levels.service_levels import (
-    EVENTS,
-    WINDOW_EVENTS,
+    EVENTS_METRIC,
+    WINDOW_EVENTS_METRIC,
 )
 from quetzalcourse.state.service_levels import EventCount, Window
 
@@ -32,13 +32,13 @@
 
 def _add_sample(sample: Sample, events: dict[str, LevelEvents]) -> None:
     name = sample.name.removeprefix(PREFIX).removesuffix('_total')
-    if name not in {EVENTS, WINDOW_EVENTS}:
+    if name not in {EVENTS_METRIC, WINDOW_EVENTS_METRIC}:
         return
     level = events.setdefault(sample.labels['service_level'], LevelEvents())
     good = sample.labels['outcome'] == 'good'
     amount = sample.value
     count = EventCount(amount, 0) if good else EventCount(0, amount)
-    if name == WINDOW_EVENTS:
+    if name == WINDOW_EVENTS_METRIC:
         level.add_window(Window(sample.labels['window']), count)
     else:
         level.add_account(sample.labels['client_account'], count)
--- a/quetzalcourse/slot_parts.py
+++ b/quetzalcourse/slot_parts.py
@@ -6,8 +6,12 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.slots.admission import Admission
-from quetzalcourse.coordination.slots.load_watch import LoadWatch
-from quetzalcourse.coordination.slots.owner_grants import OwnerGrants
+from quetzalcourse.coordination.slots.engine_load_monitor import (
+    EngineLoadMonitor,
+)
+from quetzalcourse.coordination.slots.distributed_slot_policy import (
+    DistributedSlotPolicy,
+)
 from quetzalcourse.transport.engine_control import EngineControlClient
 from quetzalcourse.transport.slot_link import PeerSlotLink
 
@@ -41,12 +45,14 @@
         """Build the parts."""
         self._members = members
         self._link = PeerSlotLink(peers, counters)
-        self._grants = OwnerGrants(members, self._link, clock)
+        self._grants = DistributedSlotPolicy(members, self._link, clock)
         self.admission = Admission(clock, self._grants, counters)
         control = EngineControlClient(
             session, members.own.incarnation, OBSERVE_SECONDS
         )
-        self._watch = LoadWatch(control, self._grants.owned, clock, counters)
+        self._watch = EngineLoadMonitor(
+            control, self._grants.owned, clock, counters
+        )
         self._task: asyncio.Task[None] | None = None
         members.on_change(self._on_members)
 
--- a/quetzalcourse/tests/commands/report_tests.py
+++ b/quetzalcourse/tests/commands/report_tests.py
@@ -15,7 +15,7 @@
     compute_burns,
 )
 from quetzalcourse.coordination.service_levels.service_levels import (
-    ServiceLevels,
+    ServiceLevelTracker,
 )
 from quetzalcourse.protocol.exposition import read_events
 from quetzalcourse.state.counters import Counters
@@ -50,7 +50,7 @@
 def render_daemon(slow: int) -> str:
     """Render the metrics of a daemon that served some requests slowly."""
     counters = Counters()
-    levels = ServiceLevels(FakeClock(), counters)
+    levels = ServiceLevelTracker(FakeClock(), counters)
     levels.on_manifest(Manifest(service_levels=LEVELS))
     for index in range(40):
         late = index < slow
--- a/quetzalcourse/tests/coordination/fleet/fleet_tests.py
+++ b/quetzalcourse/tests/coordination/fleet/fleet_tests.py
@@ -213,7 +213,7 @@
         lease = Lease(table, clock, 'lease/upstream-orders', 'vm', TERMS)
         orders = FleetOrders(table, taker, lease, clock, Counters())
         while True:
-            await lease.pursue()
+            await lease.acquire_or_renew()
             if lease.held:
                 counts = dict(taker.counts)
                 await orders.reconcile(wanted, counts, timedelta(0))
--- a/quetzalcourse/tests/coordination/leases/lease_tests.py
+++ b/quetzalcourse/tests/coordination/leases/lease_tests.py
@@ -62,7 +62,7 @@
 async def commit_under(store: FakeStore, lease: Lease) -> bool:
     """Write a row on the condition that a lease still holds."""
     answer = await store.transact(
-        Transaction((lease.require(),), (Write('work', b''),))
+        Transaction((lease.fence_condition(),), (Write('work', b''),))
     )
     return answer.unwrap().applied
 
@@ -78,17 +78,17 @@
     # counted it would outlast its term; one that kept the old version would
     # find its commits refused, and its renewals too, until the term ran out.
     pair = Pair()
-    assert await pair.first.pursue()
+    assert await pair.first.acquire_or_renew()
     pair.move(8)
     pair.store.write_faults.append('lost_after')
-    assert await pair.first.pursue()
+    assert await pair.first.acquire_or_renew()
     assert await commit_under(pair.store, pair.first)
     pair.move(1)
-    assert await pair.first.pursue()
+    assert await pair.first.acquire_or_renew()
     pair.move(9)
     assert pair.first.held
     pair.store.write_faults.append('lost_after')
-    await pair.first.pursue()
+    await pair.first.acquire_or_renew()
     pair.move(1)
     assert not pair.first.held
 
@@ -98,8 +98,8 @@
     # know its own claim again, everyone would wait for a holder that is not.
     pair = Pair()
     pair.store.write_faults.append('lost_after')
-    assert not await pair.first.pursue()
-    assert await pair.first.pursue()
+    assert not await pair.first.acquire_or_renew()
+    assert await pair.first.acquire_or_renew()
     assert pair.first.token == 1
     assert await commit_under(pair.store, pair.first)
 
@@ -110,27 +110,27 @@
     # lost, and the release's own answer may be lost as well. Without a
     # second try, orders would stand still for a whole term.
     pair = Pair()
-    assert await pair.first.pursue()
+    assert await pair.first.acquire_or_renew()
     pair.store.write_faults.append('lost_after')
-    await pair.first.pursue()
+    await pair.first.acquire_or_renew()
     pair.store.write_faults.append(fault)
     await pair.first.release()
     assert not pair.first.held
-    assert await pair.second.pursue()
+    assert await pair.second.acquire_or_renew()
     assert pair.second.token == 2
-    assert not await pair.first.pursue()
+    assert not await pair.first.acquire_or_renew()
 
 
 async def test_same_name_after_restart_waits_like_any_other() -> None:
     # A restarted daemon, or a second task of one daemon, contends under a
     # name that the row already bears, while the first may still be sending.
     pair = Pair(('same', 'same'))
-    assert await pair.first.pursue()
-    assert not await pair.second.pursue()
+    assert await pair.first.acquire_or_renew()
+    assert not await pair.second.acquire_or_renew()
     pair.move(11.9)
-    assert not await pair.second.pursue()
+    assert not await pair.second.acquire_or_renew()
     pair.move(0.2)
-    assert await pair.second.pursue()
+    assert await pair.second.acquire_or_renew()
     assert pair.second.token == 2
     assert not await commit_under(pair.store, pair.first)
 
@@ -140,11 +140,11 @@
     # that took an absent row as free would send beside the holder, and with
     # a token that receivers have already seen.
     pair = Pair()
-    assert await pair.first.pursue()
+    assert await pair.first.acquire_or_renew()
     await pair.store.transact(Transaction((), (Write(KEY, None),)))
-    assert not await pair.second.pursue()
+    assert not await pair.second.acquire_or_renew()
     pair.move(12)
-    assert await pair.second.pursue()
+    assert await pair.second.acquire_or_renew()
     assert pair.second.token == 2
     assert await commit_under(pair.store, pair.second)
 
@@ -153,19 +153,19 @@
     # The store goes down. Whoever looks at any daemon must see that nobody
     # gives orders, and the holder itself must stop.
     pair = Pair()
-    assert await pair.first.pursue()
-    assert not await pair.second.pursue()
+    assert await pair.first.acquire_or_renew()
+    assert not await pair.second.acquire_or_renew()
     assert pair.first.describe().state is LeaseState.held
     assert pair.second.describe().state is LeaseState.other
     pair.store.down = True
     pair.move(12.1)
-    assert not await pair.first.pursue()
-    assert not await pair.second.pursue()
+    assert not await pair.first.acquire_or_renew()
+    assert not await pair.second.acquire_or_renew()
     assert pair.first.describe().state is LeaseState.nobody
     assert pair.second.describe().state is LeaseState.nobody
     pair.store.down = False
-    assert await pair.second.pursue()
-    assert not await pair.first.pursue()
+    assert await pair.second.acquire_or_renew()
+    assert not await pair.first.acquire_or_renew()
 
 
 async def test_term_counts_from_before_the_renewal_was_sent() -> None:
@@ -175,7 +175,7 @@
     table = GatedTable(FakeStore())
     clock = FakeClock()
     lease = Lease(table, clock, KEY, 'daemon', TERMS)
-    task = asyncio.create_task(lease.pursue())
+    task = asyncio.create_task(lease.acquire_or_renew())
     for number in range(8):
         await let_run()
         if number == 5:
@@ -195,12 +195,12 @@
     table = GatedTable(store)
     lease = Lease(table, FakeClock(), KEY, 'daemon', TERMS)
     for _ in range(2):
-        task = asyncio.create_task(lease.pursue())
+        task = asyncio.create_task(lease.acquire_or_renew())
         for _ in range(8):
             await let_run()
             table.open()
         assert await task
-    renewal = asyncio.create_task(lease.pursue())
+    renewal = asyncio.create_task(lease.acquire_or_renew())
     await let_run()
     table.open()
     await let_run()
@@ -211,24 +211,26 @@
     await release
     assert not await renewal
     assert not lease.held
-    assert await Lease(store, FakeClock(), KEY, 'next', TERMS).pursue()
+    assert await Lease(
+        store, FakeClock(), KEY, 'next', TERMS
+    ).acquire_or_renew()
 
 
 async def test_early_stop_leaves_orders_time_to_end() -> None:
     # An order to a receiver that ignores tokens is still on its way when
     # the term ends, and takes effect after the next holder's first one.
     pair = Pair(terms=DRIFTING)
-    assert await pair.first.pursue()
-    assert not await pair.second.pursue()
+    assert await pair.first.acquire_or_renew()
+    assert not await pair.second.acquire_or_renew()
     pair.move(9.4)
     assert pair.first.may_send
     pair.move(0.2)
     assert pair.first.held
     assert not pair.first.may_send
     pair.move(1.9)
-    assert not await pair.second.pursue()
+    assert not await pair.second.acquire_or_renew()
     pair.move(0.2)
-    assert await pair.second.pursue()
+    assert await pair.second.acquire_or_renew()
 
 
 class LeaseMachine(RuleBasedStateMachine):
@@ -257,7 +259,7 @@
         """Begin to pursue unless it is under way, and open some gates."""
         task = self.tasks[index]
         if task is None or task.done():
-            pursuit = self.leases[index].pursue()
+            pursuit = self.leases[index].acquire_or_renew()
             self.tasks[index] = self.loop.create_task(pursuit)
         for number in range(gates):
             await let_run()
@@ -347,7 +349,7 @@
     async def contend(self, releases: bool) -> None:
         """Pursue the lease, pausing at times as a stopped process does."""
         while True:
-            await self.lease.pursue()
+            await self.lease.acquire_or_renew()
             if releases and self._source.random() < 0.005:
                 await self.lease.release()
             lasting = self._source.random() < 0.05
--- a/quetzalcourse/tests/coordination/requests/generation_tests.py
+++ b/quetzalcourse/tests/coordination/requests/generation_tests.py
@@ -12,7 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quetzalcourse.coordination.requests.generation import Generation
+from quetzalcourse.coordination.requests.generation_runner import (
+    GenerationRunner,
+)
 from quetzalcourse.coordination.requests.retries import RetryBudget
 from quetzalcourse.coordination.routing.health import Health
 from quetzalcourse.coordination.routing.leaving import Departure
@@ -61,7 +63,7 @@
         router = Router('hall')
         health = Health(self.clock, self.counters, Random(1))
         self.budget = RetryBudget()
-        self.generation = Generation(
+        self.generation = GenerationRunner(
             self.admission,
             router,
             health,
@@ -256,7 +258,7 @@
     task = asyncio.create_task(bench.run(bench.build_request(traffic_class)))
     await settle()
     name = bench.engines.sent[0][0]
-    bench.generation.interruptions.on_departure(Departure(name, humans))
+    bench.generation.running_attempts.on_departure(Departure(name, humans))
     await settle()
     assert task.done() is moves
     task.cancel()
--- a/quetzalcourse/tests/coordination/requests/idempotency_tests.py
+++ b/quetzalcourse/tests/coordination/requests/idempotency_tests.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from quetzalcourse.coordination.requests.idempotency import (
-    Claims,
+    IdempotencyStore,
     KeyedCall,
     digest_call,
 )
@@ -24,7 +24,9 @@
 OTHER_ACCOUNT = replace(OTHER_BODY, client_account='editors')
 
 
-async def ask(claims: Claims, call: KeyedCall) -> tuple[RefusalCode, bool]:
+async def ask(
+    claims: IdempotencyStore, call: KeyedCall
+) -> tuple[RefusalCode, bool]:
     """Claim a key that can't be claimed."""
     with pytest.raises(RefusedError) as raised:
         await claims.claim(call)
@@ -49,7 +51,7 @@
     # make any more.
     store = FakeStore()
     store.write_faults.extend(faults)
-    claims = Claims(store)
+    claims = IdempotencyStore(store)
     if taken:
         await claims.claim(CALL)
     else:
@@ -79,13 +81,13 @@
     # A caller whose connection broke asks again with the same key, through
     # another daemon. It has to learn what became of the first call.
     store = FakeStore()
-    first = Claims(store)
+    first = IdempotencyStore(store)
     claim = await first.claim(CALL)
     if state == 'answered':
         assert await first.on_answered(claim, 201)
     elif state == 'not_run':
         assert await first.on_not_run(claim)
-    second = Claims(store)
+    second = IdempotencyStore(store)
     if expected is None:
         await second.claim(call)
     else:
@@ -96,7 +98,7 @@
     # The store goes down between the claim and its reading back. Sending
     # without knowing could run the call a second time.
     store = FakeStore()
-    claims = Claims(store)
+    claims = IdempotencyStore(store)
     store.write_faults.append('lost_after')
     reading = store.read
 
@@ -127,7 +129,7 @@
     runs: list[str] = []
 
     async def use(store: FakeStore, name: str, outcome: str) -> None:
-        claims = Claims(store)
+        claims = IdempotencyStore(store)
         try:
             claim = await claims.claim(replace(CALL, request_id=name))
         except RefusedError:
--- a/quetzalcourse/tests/coordination/service_levels/burn_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/burn_tests.py
@@ -10,11 +10,11 @@
     Alert,
     LevelEvents,
     compute_burn,
-    find_worst,
-    judge_rates,
+    find_worst_account,
+    choose_alert,
 )
 from quetzalcourse.coordination.service_levels.service_levels import (
-    ServiceLevels,
+    ServiceLevelTracker,
 )
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.manifest import Manifest, ServiceLevel
@@ -86,7 +86,7 @@
 ) -> None:
     # A brief spike fills the short window only, and an outage that ended
     # the long one only. An operator woken by either could do nothing.
-    assert judge_rates(make_rates(short, long)) is alert
+    assert choose_alert(make_rates(short, long)) is alert
 
 
 def test_worst_account_has_largest_bad_share() -> None:
@@ -95,13 +95,13 @@
         'small': EventCount(1, 1),
         'silent': EventCount(0, 0),
     }
-    assert find_worst(accounts) == 'small'
+    assert find_worst_account(accounts) == 'small'
 
 
 def test_events_leave_their_windows() -> None:
     clock = FakeClock()
     counters = Counters()
-    levels = ServiceLevels(clock, counters)
+    levels = ServiceLevelTracker(clock, counters)
     levels.on_manifest(Manifest(service_levels={LEVEL.name: LEVEL}))
     slow = timedelta(seconds=1)
     levels.observe(Indicator.human_latency, 'a', slow)
--- a/quetzalcourse/tests/coordination/service_levels/burn_ledger_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/daily_event_sums_tests.py
@@ -6,11 +6,13 @@
 
 import pytest
 
-from quetzalcourse.coordination.service_levels.burn_ledger import (
-    BurnLedger,
+from quetzalcourse.coordination.service_levels.daily_event_sums import (
+    DailySumsWriter,
     read_sums,
 )
-from quetzalcourse.coordination.service_levels.service_levels import EVENTS
+from quetzalcourse.coordination.service_levels.service_levels import (
+    EVENTS_METRIC,
+)
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.manifest import ServiceLevel
 from quetzalcourse.state.service_levels import EventCount
@@ -30,7 +32,7 @@
 def count_event(counters: Counters, outcome: str, amount: int = 1) -> None:
     """Count events of one account."""
     counters.add(
-        EVENTS,
+        EVENTS_METRIC,
         amount,
         service_level='answered',
         client_account='readers',
@@ -50,7 +52,7 @@
     store, clock = FakeStore(), FakeClock()
     for incarnation, amount in (('vm-1-a', 3), ('vm-1-b', 4)):
         counters = Counters()
-        ledger = BurnLedger(store, clock, counters, incarnation)
+        ledger = DailySumsWriter(store, clock, counters, incarnation)
         count_event(counters, 'bad', amount)
         await ledger.flush()
     assert await read_total(store, clock, 28) == EventCount(0, 7)
@@ -61,7 +63,7 @@
     # The table's answer is lost, with or without its effect. Events that
     # were added again would overstate the burn.
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = BurnLedger(store, clock, counters, 'vm-1-a')
+    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'good', 5)
     store.write_faults.append(fault)
     await ledger.flush()
@@ -78,7 +80,7 @@
     expected: EventCount,
 ) -> None:
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = BurnLedger(store, clock, counters, 'vm-1-a')
+    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'bad')
     await ledger.flush()
     clock.move(DAY)
@@ -96,7 +98,7 @@
     # The store is down when the day turns. The old day's events must not be
     # lost, and they must not be counted in the new day as well.
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = BurnLedger(store, clock, counters, 'vm-1-a')
+    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'bad', 2)
     store.down = True
     clock.move(DAY)
@@ -111,7 +113,7 @@
 
 async def test_unchanged_sums_cost_no_write() -> None:
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = BurnLedger(store, clock, counters, 'vm-1-a')
+    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'good')
     await ledger.flush()
     await ledger.flush()
--- a/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from quetzalcourse.coordination.slots.division import (
-    Accounts,
-    Claim,
+from quetzalcourse.coordination.slots.fair_share import (
+    FairnessState,
+    AccountDemand,
     divide_slots,
 )
 from quetzalcourse.coordination.slots.slot_owner import SlotOwner
@@ -149,11 +149,11 @@
     shares: tuple[int, int],
 ) -> None:
     claims = [
-        Claim('a', make_key(1), 40, ZERO),
-        Claim('b', make_key(2), 4, ZERO),
+        AccountDemand('a', make_key(1), 40, ZERO),
+        AccountDemand('b', make_key(2), 4, ZERO),
     ]
     ledger = {make_key(account): tokens for account, tokens in served.items()}
-    targets = divide_slots(4, 0, claims, Accounts(served=ledger))
+    targets = divide_slots(4, 0, claims, FairnessState(served=ledger))
     assert (targets['a'].training, targets['b'].training) == shares
 
 
@@ -161,20 +161,20 @@
     # One slot and two daemons: the one that keeps its slot busy would keep
     # it for ever.
     claims = [
-        Claim('a', make_key(1), 2, timedelta(seconds=1)),
-        Claim('b', make_key(1), 1, timedelta(seconds=2)),
+        AccountDemand('a', make_key(1), 2, timedelta(seconds=1)),
+        AccountDemand('b', make_key(1), 1, timedelta(seconds=2)),
     ]
-    targets = divide_slots(1, 0, claims, Accounts())
+    targets = divide_slots(1, 0, claims, FairnessState())
     assert targets['b'].training == 1
 
 
 def test_weights_divide_what_is_scarce() -> None:
     claims = [
-        Claim('a', make_key(1), 40, ZERO),
-        Claim('a', make_key(2), 40, ZERO),
-        Claim('b', make_key(3, human=True), 3, ZERO),
+        AccountDemand('a', make_key(1), 40, ZERO),
+        AccountDemand('a', make_key(2), 40, ZERO),
+        AccountDemand('b', make_key(3, human=True), 3, ZERO),
     ]
-    accounts = Accounts({1: 3.0, 2: 1.0})
+    accounts = FairnessState({1: 3.0, 2: 1.0})
     targets = divide_slots(12, 1, claims, accounts)
     assert (targets['b'].human, targets['a'].training) == (3, 8)
 
--- a/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quetzalcourse.coordination.service_levels.service_levels import (
-    ServiceLevels,
+    ServiceLevelTracker,
 )
 from quetzalcourse.coordination.steps.delivery_counts import DeliveryCounts
 from quetzalcourse.coordination.steps.staleness import NewestVersions
@@ -55,7 +55,7 @@
     clock, counters = FakeClock(), Counters()
     known = NewestVersions(platform, clock)
     known.learn(MODEL, newest)
-    levels = ServiceLevels(clock, counters)
+    levels = ServiceLevelTracker(clock, counters)
     counts = DeliveryCounts(clock, counters, levels)
     return StepDelivery(platform, known, counts)
 
--- a/quetzalcourse/tests/coordination/steps/step_log_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_log_tests.py
@@ -39,7 +39,7 @@
         self._store = store
 
     async def begin(self) -> StepLog:
-        while not await self.lease.pursue():
+        while not await self.lease.acquire_or_renew():
             self.clock.move(PAUSE)
         held = StepLease(self._store, self.lease)
         rows = LeasedRows(self._store, held, self.clock)
@@ -83,7 +83,7 @@
     holder = Holder(store, 'holder')
     log = await holder.begin()
     store.write_faults.append('lost_after')
-    await holder.lease.pursue()
+    await holder.lease.acquire_or_renew()
     append = log.append((make_sample(0),), REPORT)
     task = asyncio.ensure_future(append)
     await holder.clock.advance(timedelta(seconds=3))
--- a/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
+++ b/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
@@ -104,7 +104,7 @@
         }
         hall = Hall(engines)
         hall.platform.publish()
-        await hall.lease.pursue()
+        await hall.lease.acquire_or_renew()
         await hall.run(9)
         return engines
 
@@ -121,7 +121,7 @@
     async def run() -> list[EngineOrder]:
         engines = FakeEngines(4)
         hall = Hall(engines)
-        await hall.lease.pursue()
+        await hall.lease.acquire_or_renew()
         await asyncio.sleep(TERMS.term.total_seconds())
         hall.platform.publish()
         await hall.run(5)
--- a/quetzalcourse/tests/slots.py
+++ b/quetzalcourse/tests/slots.py
@@ -7,7 +7,9 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.slots.admission import Admission
-from quetzalcourse.coordination.slots.owner_grants import OwnerGrants
+from quetzalcourse.coordination.slots.distributed_slot_policy import (
+    DistributedSlotPolicy,
+)
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.generation import TrafficClass
 from quetzalcourse.state.manifest import Manifest, Upstream, UpstreamKind
@@ -53,7 +55,7 @@
         self.counters = Counters()
         self.view = FakeMembers(member, [member])
         self.link = PeerSlotLink(network.join(member), self.counters)
-        self.policy = OwnerGrants(self.view, self.link, self.clock)
+        self.policy = DistributedSlotPolicy(self.view, self.link, self.clock)
         self.admission = Admission(self.clock, self.policy, self.counters)
         self.grants: list[Grant] = []
         self.tasks: list[asyncio.Task[None]] = []
--- a/quetzalcourse/tests/step_world.py
+++ b/quetzalcourse/tests/step_world.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.service_levels.service_levels import (
-    ServiceLevels,
+    ServiceLevelTracker,
 )
 from quetzalcourse.coordination.steps.step_assembly import build_steps
 from quetzalcourse.standins.rollouts import ScriptedEngine, ScriptedGeneration
@@ -159,7 +159,7 @@
             self.generation,
             clock,
             counters,
-            ServiceLevels(clock, counters),
+            ServiceLevelTracker(clock, counters),
             members,
             **changes,
         )
--- a/quetzalcourse/tests/usage_world.py
+++ b/quetzalcourse/tests/usage_world.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
+from quetzalcourse.coordination.leases.leader_elector import LeaderElector
 from quetzalcourse.coordination.usage.usage import UsageCounter
 from quetzalcourse.coordination.usage.usage_copies import UsageCopies
 from quetzalcourse.coordination.usage.usage_reports import UsageReporter
@@ -131,7 +131,7 @@
         lease = Lease(
             table, clock, 'lease/usage', self.member.incarnation, TERMS
         )
-        self.keeper = LeaseKeeper(lease, self.members, clock, counters)
+        self.keeper = LeaderElector(lease, self.members, clock, counters)
         self.reporter = UsageReporter(
             table,
             ReportSender(world.billing, self.member.incarnation),
--- a/quetzalcourse/transport/callers.py
+++ b/quetzalcourse/transport/callers.py
@@ -28,18 +28,22 @@
 
     from sanic.response import HTTPResponse
 
-    from quetzalcourse.coordination.requests.generation import Generation
-    from quetzalcourse.coordination.service_levels.human_service import (
-        HumanService,
+    from quetzalcourse.coordination.requests.generation_runner import (
+        GenerationRunner,
     )
-    from quetzalcourse.coordination.requests.idempotency import Claims
+    from quetzalcourse.coordination.service_levels.human_requests import (
+        HumanRequestTracker,
+    )
+    from quetzalcourse.coordination.requests.idempotency import IdempotencyStore
     from quetzalcourse.coordination.manifest.keys import Identity, KeyRing
     from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
     from quetzalcourse.coordination.routing.routing import Router
     from quetzalcourse.coordination.service_levels.service_levels import (
-        ServiceLevels,
+        ServiceLevelTracker,
+    )
+    from quetzalcourse.coordination.requests.service_dispatcher import (
+        ServiceDispatcher,
     )
-    from quetzalcourse.coordination.requests.services import Services
     from quetzalcourse.coordination.membership.status import StatusBoard
     from quetzalcourse.coordination.steps.steps import Steps
     from quetzalcourse.settings.process import ProcessSettings
@@ -65,12 +69,12 @@
     keys: KeyRing
     manifest: ManifestKeeper
     router: Router
-    generation: Generation
-    services: Services
+    generation: GenerationRunner
+    services: ServiceDispatcher
     steps: Steps
-    service_levels: ServiceLevels
-    human_service: HumanService
-    claims: Claims
+    service_levels: ServiceLevelTracker
+    human_service: HumanRequestTracker
+    claims: IdempotencyStore
     sessions: KeySessions
     status: StatusBoard
 
--- a/quetzalcourse/transport/generation_routes.py
+++ b/quetzalcourse/transport/generation_routes.py
@@ -114,7 +114,9 @@
             self._parts.keys,
             request.ctx.identity.key_id,
         )
-        chunks = self._parts.human_service.watch(wanted.client_account, granted)
+        chunks = self._parts.human_service.track_stream(
+            wanted.client_account, granted
+        )
         with self._parts.activity.track():
             async with aclosing(chunks):  # type: ignore[type-var]
                 if body.stream:
--- a/quetzalcourse/transport/key_sessions.py
+++ b/quetzalcourse/transport/key_sessions.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from quetzalcourse.coordination.manifest.keys import refuse_key
-from quetzalcourse.coordination.requests.guard import (
+from quetzalcourse.coordination.requests.interrupt_scope import (
     AttemptInterruptedError,
-    Guard,
+    InterruptScope,
     Interruption,
 )
 from quetzalcourse.exceptions import RefusedError
@@ -73,7 +73,7 @@
     :param key_id: key that the request came with.
     :raises RefusedError: if the key stopped before the last chunk.
     """
-    guard = Guard(TrafficClass.human)
+    guard = InterruptScope(TrafficClass.human)
     loop = asyncio.get_running_loop()
     with keys.watch(key_id) as withdrawn:
         watcher = loop.create_task(_interrupt(withdrawn, guard))
@@ -93,7 +93,7 @@
             await chunks.aclose()  # type: ignore[attr-defined]
 
 
-async def _interrupt(withdrawn: asyncio.Event, guard: Guard) -> None:
+async def _interrupt(withdrawn: asyncio.Event, guard: InterruptScope) -> None:
     await withdrawn.wait()
     guard.interrupt(Interruption.withdrawn)
 
--- a/quetzalcourse/transport/service_routes.py
+++ b/quetzalcourse/transport/service_routes.py
@@ -17,7 +17,10 @@
     KeyedCall,
     digest_call,
 )
-from quetzalcourse.coordination.requests.services import ServiceCall, correct
+from quetzalcourse.coordination.requests.service_dispatcher import (
+    ServiceCall,
+    adjust_not_run,
+)
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.state.generation import NEVER_RAN, AttemptState
 from quetzalcourse.state.refusal import Refusal, RefusalCode
@@ -191,8 +194,8 @@
         refusal = passage.body.refusal
         if refusal is not None:
             # The caller's own fault, so the upstream's health is untouched.
-            call.ran = call.ran or call.state not in NEVER_RAN
-            raise RefusedError(correct(refusal, call)) from error
+            call.may_have_run = call.may_have_run or call.state not in NEVER_RAN
+            raise RefusedError(adjust_not_run(refusal, call)) from error
         call.replayable = passage.body.replayable
         self._parts.services.on_failed(call, grant)
         self._parts.counters.add('retries')
@@ -228,7 +231,7 @@
         if passage.request.method == 'HEAD':
             whole = True
         first = await answer.read() if whole else b''
-        passage.call.answering = True
+        passage.call.answer_started = True
         await relay_answer(
             passage.request,
             answer,
@@ -238,7 +241,7 @@
         )
         self._parts.services.on_answered(passage.call, grant)
         if answer.status in UNWELL:
-            self._parts.services.on_unwell(grant)
+            self._parts.services.on_unhealthy(grant)
 
     def _list_headers(
         self,
--- a/quetzalcourse/upstreams.py
+++ b/quetzalcourse/upstreams.py
@@ -6,16 +6,20 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.requests.generation import Generation
+from quetzalcourse.coordination.requests.generation_runner import (
+    GenerationRunner,
+)
 from quetzalcourse.coordination.routing.health import Health
-from quetzalcourse.coordination.requests.idempotency import Claims
+from quetzalcourse.coordination.requests.idempotency import IdempotencyStore
 from quetzalcourse.coordination.routing.leaving import Leaving
 from quetzalcourse.coordination.routing.observer import Observer
 from quetzalcourse.coordination.routing.prefixes import PrefixHints
 from quetzalcourse.coordination.routing.reports import EngineReports
 from quetzalcourse.coordination.requests.retries import RetryBudget
 from quetzalcourse.coordination.routing.routing import Router
-from quetzalcourse.coordination.requests.services import Services
+from quetzalcourse.coordination.requests.service_dispatcher import (
+    ServiceDispatcher,
+)
 from quetzalcourse.transport.engine_client import EngineClient
 from quetzalcourse.transport.engine_control import EngineControlClient
 
@@ -38,9 +42,9 @@
     leaving: Leaving
     health: Health
     router: Router
-    claims: Claims
-    services: Services
-    generation: Generation
+    claims: IdempotencyStore
+    services: ServiceDispatcher
+    generation: GenerationRunner
     observer: Observer
     reports: EngineReports
 
@@ -74,7 +78,7 @@
     router = Router(data_centre, leaving, reports, prefixes)
     health = Health(clock, counters, Random(incarnation))
     budget = RetryBudget()
-    generation = Generation(
+    generation = GenerationRunner(
         admission,
         router,
         health,
@@ -93,13 +97,13 @@
         counters,
         admission.running,
     )
-    observer.on_departure(generation.interruptions.on_departure)
+    observer.on_departure(generation.running_attempts.on_departure)
     return UpstreamParts(
         leaving,
         health,
         router,
-        Claims(table),
-        Services(admission, router, health, budget, clock),
+        IdempotencyStore(table),
+        ServiceDispatcher(admission, router, health, budget, clock),
         generation,
         observer,
         reports,
--- a/quetzalcourse/weight_parts.py
+++ b/quetzalcourse/weight_parts.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from quetzalcourse.coordination.leases.lease import Lease
-from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
+from quetzalcourse.coordination.leases.leader_elector import LeaderElector
 from quetzalcourse.coordination.ports import Table, WeightStore
 from quetzalcourse.coordination.steps.staleness import NewestVersions
 from quetzalcourse.coordination.weights.wave_runner import WaveRunner
@@ -42,7 +42,7 @@
 class WeightParts:
     """The data centre's lease on its engines, and the waves under it."""
 
-    keeper: LeaseKeeper
+    keeper: LeaderElector
     waves: WaveRunner
 
     def start(self, lifecycle: Lifecycle) -> None:
@@ -63,7 +63,7 @@
 
     async def on_drain(self) -> None:
         """Give the lease up once no order is on its way any more."""
-        self.keeper.retire()
+        self.keeper.stop_renewing()
         await self.waves.finish()
         await self.keeper.release()
 
@@ -92,7 +92,7 @@
         timedelta(seconds=times.order_timeout_seconds),
     )
     lease = Lease(platform, clock, key, incarnation, terms)
-    keeper = LeaseKeeper(lease, members, clock, counters, data_centre)
+    keeper = LeaderElector(lease, members, clock, counters, data_centre)
     wishes = settings.weights
     waves = WaveRunner(
         data_centre,
