--- a/quetzalcourse/coordination/steps/step_service.py
+++ b/quetzalcourse/coordination/steps/step_service.py
@@ -215,7 +215,7 @@
 
     async def _acquire_lease(self, spec: StepSpec, lease: Lease) -> bool:
         attempts = 0
-        while not await lease.pursue():
+        while not await lease.acquire_or_renew():
             await self._clock.sleep(LEASE_POLL_INTERVAL)
             attempts += 1
             if (
--- a/quetzalcourse/tests/coordination/steps/step_log_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_log_tests.py
@@ -46,7 +46,7 @@
         self._store = store
 
     async def begin(self) -> StepLog:
-        while not await self.lease.pursue():
+        while not await self.lease.acquire_or_renew():
             self.clock.move(PAUSE)
         step_lease = StepLease(self._store, self.lease)
         writer = FencedWriter(self._store, step_lease, self.clock)
@@ -90,7 +90,7 @@
     holder = LeaseHolder(store, 'holder')
     log = await holder.begin()
     store.write_faults.append('lost_after')
-    await holder.lease.pursue()
+    await holder.lease.acquire_or_renew()
     append = log.append((make_sample(0),), REPORT)
     task = asyncio.ensure_future(append)
     await holder.clock.advance(timedelta(seconds=3))
--- a/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
+++ b/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
@@ -104,7 +104,7 @@
         }
         scenario = RunnerScenario(engines)
         scenario.platform.publish()
-        await scenario.lease.pursue()
+        await scenario.lease.acquire_or_renew()
         await scenario.run(9)
         return engines
 
@@ -121,7 +121,7 @@
     async def run() -> list[EngineOrder]:
         engines = FakeEngines(4)
         scenario = RunnerScenario(engines)
-        await scenario.lease.pursue()
+        await scenario.lease.acquire_or_renew()
         await asyncio.sleep(TERMS.term.total_seconds())
         scenario.platform.publish()
         await scenario.run(5)
