--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
 from quetzalcourse.standins.deployment import (
     MODEL,
     Standin,
@@ -136,7 +136,7 @@
 
     async def accept(self, manifest: Manifest) -> int:
         """Have the next version accepted."""
-        keeper = ManifestKeeper(self.client, self.client)
+        keeper = ManifestStore(self.client, self.client)
         answer = await keeper.accept(manifest, self.version)
         self.version = answer.unwrap()
         return self.version
--- a/bench/suites/rollouts.py
+++ b/bench/suites/rollouts.py
@@ -32,7 +32,7 @@
     order_burst,
     replay,
 )
-from quetzalcourse.tests.coordination.feeds.reach_tests import (
+from quetzalcourse.tests.coordination.feeds.readiness_tests import (
     NEIGHBOUR,
     OUTSIDER,
     ReachWorld,
@@ -197,9 +197,9 @@
     """Measure how long a data centre that is cut off takes new callers."""
     world = ReachWorld(NEIGHBOUR, OUTSIDER)
     seconds = 0.0
-    while world.reach.welcomes() and seconds < CUT.total_seconds():
+    while world.reach.is_ready() and seconds < CUT.total_seconds():
         world.pass_time(TICK, NEIGHBOUR)
-        seconds = world.follower.silence.total_seconds()
+        seconds = world.follower.time_since_answer.total_seconds()
     return Figure(
         'cut_noticed_seconds',
         seconds,
--- a/bench/suites/together.py
+++ b/bench/suites/together.py
@@ -14,7 +14,7 @@
 from bench.cluster import Cluster
 from bench.figure import Figure, at_most
 from bench.slopes import read_processor_time, read_resident
-from quetzalcourse.coordination.manifest.key_table import KeyTable
+from quetzalcourse.coordination.manifest.key_change_log import KeyChangeLog
 from quetzalcourse.coordination.manifest.keys import hash_secret
 from quetzalcourse.standins.deployment import MODEL, READER_KEY, SERVICE
 from quetzalcourse.state.keys import KeyRecord, bury
@@ -127,7 +127,7 @@
 async def measure_withdrawals(cluster: Cluster, name: str) -> list[float]:
     """Withdraw keys while each daemon streams an answer to them."""
     times: list[float] = []
-    table = KeyTable(cluster.client)
+    table = KeyChangeLog(cluster.client)
     for number in range(KEYS):
         key_id = f'{name}-{number}'
         record = KeyRecord(key_id, 'readers', hash_secret('secret'))
--- a/quetzalcourse/application.py
+++ b/quetzalcourse/application.py
@@ -12,11 +12,11 @@
 from quetzalcourse.coordination.service_levels.burn_ledger import BurnLedger
 from quetzalcourse.coordination.service_levels.human_service import HumanService
 from quetzalcourse.coordination.manifest.keys import KeyRing
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
 from quetzalcourse.coordination.service_levels.service_levels import (
     ServiceLevels,
 )
-from quetzalcourse.coordination.membership.status import StatusBoard
+from quetzalcourse.coordination.membership.status import StatusRegistry
 from quetzalcourse.coordination.steps.step_assembly import build_steps
 from quetzalcourse.incarnation import name_incarnation
 from quetzalcourse.lifecycle import Lifecycle
@@ -69,7 +69,7 @@
         self._listener = open_listener(settings.listen.callers)
         self.address = read_address(self._listener)
         self.lifecycle = Lifecycle(self.clock, self.counters)
-        self.status = StatusBoard()
+        self.status = StatusRegistry()
         self.peering = Peering(
             settings, self.incarnation, self.clock, self.counters
         )
@@ -147,7 +147,7 @@
             self._session, platform.address, platform.timeout_seconds
         )
         self.keys = KeyRing()
-        self.manifest = ManifestKeeper(self.platform, self.platform)
+        self.manifest = ManifestStore(self.platform, self.platform)
         self.slots = SlotParts(
             self.members,
             self.peers,
--- a/quetzalcourse/batch_parts.py
+++ b/quetzalcourse/batch_parts.py
@@ -97,7 +97,7 @@
         quarantine,
         clock,
     )
-    members.on_urgency(lambda: bool(runner.batches))
+    members.set_urgency_check(lambda: bool(runner.batches))
     runner.on_begin(members.announce)
     coordinators = CoordinatorList(directory, residency.routes, members)
     notifications = ResultNotifications(
--- a/quetzalcourse/commands/apply.py
+++ b/quetzalcourse/commands/apply.py
@@ -10,9 +10,9 @@
 
 from quetzalcourse.commands.output import write_json, write_line
 from quetzalcourse.commands.platform import add_platform_option, open_platform
-from quetzalcourse.coordination.manifest.manifest import (
+from quetzalcourse.coordination.manifest.manifest_store import (
     ManifestConflict,
-    ManifestKeeper,
+    ManifestStore,
 )
 from quetzalcourse.exceptions import AbortError
 from quetzalcourse.loop import run_loop
@@ -51,7 +51,7 @@
 
 async def _apply(options: argparse.Namespace, manifest: Manifest) -> int:
     async with open_platform(options.platform) as platform:
-        keeper = ManifestKeeper(platform, platform)
+        keeper = ManifestStore(platform, platform)
         answer = await keeper.accept(manifest, options.replaces)
     if isinstance(answer, Err):
         problem = answer.err_value
--- a/quetzalcourse/commands/key.py
+++ b/quetzalcourse/commands/key.py
@@ -13,7 +13,7 @@
 
 from quetzalcourse.commands.output import write_json, write_line, write_table
 from quetzalcourse.commands.platform import open_platform
-from quetzalcourse.coordination.manifest.key_table import KeyTable
+from quetzalcourse.coordination.manifest.key_change_log import KeyChangeLog
 from quetzalcourse.coordination.manifest.keys import KEY_SEPARATOR, hash_secret
 from quetzalcourse.exceptions import AbortError
 from quetzalcourse.loop import run_loop
@@ -129,7 +129,7 @@
     if not options.platform:
         return None
     async with open_platform(options.platform) as platform:
-        table = KeyTable(platform)
+        table = KeyChangeLog(platform)
         read = await table.read_after(0)
         held = record
         if not isinstance(read, Err):
@@ -180,7 +180,7 @@
 async def _read_records(options: argparse.Namespace) -> list[KeyRecord]:
     if options.platform:
         async with open_platform(options.platform) as platform:
-            read = await KeyTable(platform).read_after(0)
+            read = await KeyChangeLog(platform).read_after(0)
         if not isinstance(read, Err):
             return read.ok_value[1]
         if not options.daemon:
--- a/quetzalcourse/coordination/batches/adoption.py
+++ b/quetzalcourse/coordination/batches/adoption.py
@@ -16,7 +16,7 @@
 from quetzalcourse.coordination.batches.batch_run import build_batch_run
 from quetzalcourse.coordination.batches.failover import rank_successors
 from quetzalcourse.coordination.slots.ownership import rank_members
-from quetzalcourse.coordination.tasks import Tasks, wait_event
+from quetzalcourse.coordination.tasks import BackgroundTasks, wait_event
 from quetzalcourse.log import get_log
 from quetzalcourse.state.batches import MILLISECOND, Ownership
 
@@ -75,7 +75,7 @@
         self._shown: dict[str, tuple[int, timedelta]] = {}
         self._removed_at = timedelta(0)
         self._wake = asyncio.Event()
-        self._tasks = Tasks('takeover')
+        self._tasks = BackgroundTasks('takeover')
         directory.on_change(self.on_batch)
 
     def on_batch(self, view: BatchView) -> None:
@@ -181,7 +181,7 @@
         return RANK_WAIT * ranked.index(own) if own in ranked else RANK_WAIT * 9
 
     def _begin(self, view: BatchView) -> None:
-        task = self._tasks.begin(self._take(view))
+        task = self._tasks.start(self._take(view))
         self._taking[view.id] = task
         task.add_done_callback(lambda _: self._taking.pop(view.id, None))
 
@@ -241,7 +241,7 @@
         ranked = rank_members(view.id, self._presence.list_live())
         if ranked and ranked[0] == self._presence.own:
             self._removed_at = now
-            task = self._tasks.begin(self._remove(view))
+            task = self._tasks.start(self._remove(view))
             self._taking[view.id] = task
             task.add_done_callback(lambda _: self._taking.pop(view.id, None))
 
--- a/quetzalcourse/coordination/batches/coordinators.py
+++ b/quetzalcourse/coordination/batches/coordinators.py
@@ -20,7 +20,7 @@
 
 from quetzalcourse.coordination.batches.failover import list_strong
 from quetzalcourse.coordination.slots.ownership import find_owner
-from quetzalcourse.coordination.tasks import Tasks
+from quetzalcourse.coordination.tasks import BackgroundTasks
 from quetzalcourse.log import get_log
 from quetzalcourse.state.batches import BatchHead, BatchItem
 from quetzalcourse.state.members import Topic
@@ -118,7 +118,7 @@
         self._take: BatchAcceptor | None = None
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[bool]] = {}
-        self._tasks = Tasks('coordinators')
+        self._tasks = BackgroundTasks('coordinators')
         peers.subscribe(Topic.batch_offered, self.on_offered)
         peers.subscribe(Topic.batch_told, self.on_message)
 
@@ -139,7 +139,7 @@
         coordinator = find_coordinator(
             head.model, own, self._members.list_live()
         )
-        if coordinator.vm == own.vm or self._follower.faulty:
+        if coordinator.vm == own.vm or self._follower.store_unavailable:
             return OfferOutcome.declined
         if not self._residency.may_hold(head, coordinator):
             return OfferOutcome.declined
@@ -159,7 +159,7 @@
     def on_offered(self, sender: Member, content: bytes) -> None:
         """Take a batch that another daemon offers."""
         offered = msgspec.msgpack.decode(content, type=BatchOffer)
-        self._tasks.begin(self._accept(sender, offered))
+        self._tasks.start(self._accept(sender, offered))
 
     def on_message(self, sender: Member, content: bytes) -> None:
         """Take the answer to an offer."""
@@ -188,7 +188,7 @@
 
     async def _accept(self, sender: Member, offered: BatchOffer) -> None:
         outcome = OfferOutcome.declined
-        if self._take is not None and not self._follower.faulty:
+        if self._take is not None and not self._follower.store_unavailable:
             outcome = await self._take(offered.head, offered.items)
         if outcome is OfferOutcome.unknown:
             # Silence is the answer that promises nothing.
--- a/quetzalcourse/coordination/batches/directory.py
+++ b/quetzalcourse/coordination/batches/directory.py
@@ -74,7 +74,7 @@
 
     def adopt(self, rows: list[Row]) -> None:
         """Take rows that were read or written aside from the feed."""
-        self._follower.adopt(rows)
+        self._follower.apply_rows(rows)
 
     def on_rows(self, rows: list[Row]) -> None:
         """Take rows that changed."""
--- a/quetzalcourse/coordination/batches/owner_watch.py
+++ b/quetzalcourse/coordination/batches/owner_watch.py
@@ -108,9 +108,9 @@
         return chosen
 
     async def _look(self, vm: str) -> None:
-        answer = await self._table.read(self._presence.find_row(vm))
+        answer = await self._table.read(self._presence.find_row_key(vm))
         if isinstance(answer, Err):
             # Its heartbeats may stand in the store all the same.
-            self._presence.on_unread(vm)
+            self._presence.on_read_failed(vm)
         elif answer.ok_value is not None:
-            self._members.adopt([answer.ok_value])
+            self._members.apply_rows([answer.ok_value])
--- a/quetzalcourse/coordination/batches/runner.py
+++ b/quetzalcourse/coordination/batches/runner.py
@@ -12,7 +12,7 @@
 from quetzalcourse.coordination.batches.placement import PlacementRequest
 from quetzalcourse.coordination.batches.slot_allocation import Waiting
 from quetzalcourse.coordination.forwarding.route_table import choose_service
-from quetzalcourse.coordination.tasks import Tasks, wait_event
+from quetzalcourse.coordination.tasks import BackgroundTasks, wait_event
 from quetzalcourse.log import get_log
 from quetzalcourse.state.batches import ResultState
 
@@ -91,7 +91,7 @@
         self._lengths = Lengths()
         self._writer = writer
         self._wake = asyncio.Event()
-        self._tasks = Tasks('batches')
+        self._tasks = BackgroundTasks('batches')
         self._begin_listeners: list[Callable[[], None]] = []
         self._placed_listeners: list[WaitingListener] = []
         self._any_unplaced = False
@@ -132,7 +132,7 @@
             log.warning('Batch is run here already.', batch=batch.head.id)
             return
         self.batches[batch.head.id] = batch
-        batch.committer = self._tasks.begin(self._commit(batch))
+        batch.committer = self._tasks.start(self._commit(batch))
         self._wake.set()
         for listener in self._begin_listeners:
             listener()
@@ -226,7 +226,7 @@
         partials = batch.save_long(now - SAVE_INTERVAL)
         if partials:
             batch.saved_at = now
-            self._tasks.begin(self._writer.save(batch, partials))
+            self._tasks.start(self._writer.save(batch, partials))
 
     def _begin(
         self, batch: BatchRun, run: ItemRun, need: PlacementRequest
@@ -246,7 +246,7 @@
         run.began = self._clock.elapsed()
         self._pool.on_send(upstream)
         run.isolated = self._quarantine.on_start(run.fingerprint, upstream.name)
-        run.task = self._tasks.begin(self._attempt(batch, run, upstream))
+        run.task = self._tasks.start(self._attempt(batch, run, upstream))
 
     def _find_need(
         self, batch: BatchRun, run: ItemRun
--- a/quetzalcourse/coordination/batches/scoring.py
+++ b/quetzalcourse/coordination/batches/scoring.py
@@ -23,7 +23,7 @@
     AttemptTimeouts,
 )
 from quetzalcourse.coordination.forwarding.route_table import choose_service
-from quetzalcourse.coordination.tasks import Tasks
+from quetzalcourse.coordination.tasks import BackgroundTasks
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.log import get_log
 
@@ -113,7 +113,7 @@
         self._counters = counters
         self._on_end: Callable[[], None] = lambda: None
         self._timeouts = AttemptTimeouts()
-        self._tasks = Tasks('scoring')
+        self._tasks = BackgroundTasks('scoring')
 
     def on_end(self, listener: Callable[[], None]) -> None:
         """Call a listener whenever a call ends."""
@@ -155,7 +155,7 @@
         run.isolated = self._quarantine.on_start(
             run.scoring_fingerprint, upstream.name
         )
-        run.task = self._tasks.begin(self._score(batch, run, upstream, route))
+        run.task = self._tasks.start(self._score(batch, run, upstream, route))
 
     async def _score(
         self,
--- a/quetzalcourse/coordination/feeds/relay.py
+++ b/quetzalcourse/coordination/feeds/feed_relay.py
@@ -23,8 +23,8 @@
     from collections.abc import Iterable
 
     from quetzalcourse.coordination.feeds.follower import TableFollower
-    from quetzalcourse.coordination.feeds.store_helpers import StoreHelpers
-    from quetzalcourse.coordination.feeds.reach import StoreReach
+    from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
+    from quetzalcourse.coordination.feeds.readiness import StoreReadiness
     from quetzalcourse.coordination.ports import MemberView, Peers
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -32,7 +32,7 @@
 
 # With three asked at a time, one that is itself turned away, or was killed,
 # costs no more than the next tick.
-ASKED = 3
+PEERS_PER_REQUEST = 3
 TICK = timedelta(milliseconds=250)
 log = get_log('relay')
 
@@ -85,8 +85,8 @@
         followers: Iterable[TableFollower],
         peers: Peers,
         members: MemberView,
-        reach: StoreReach,
-        helpers: StoreHelpers,
+        reach: StoreReadiness,
+        helpers: RelayPeers,
         clock: Clock,
         counters: Counters,
     ) -> None:
@@ -106,10 +106,13 @@
         """Ask while the store does not answer, until cancelled."""
         while True:
             for follower in self._followers.values():
-                if follower.faulty or self._helpers.asked.is_set():
+                if (
+                    follower.store_unavailable
+                    or self._helpers.report_request.is_set()
+                ):
                     self._ask(follower)
-            self._helpers.asked.clear()
-            await wait_event(self._helpers.asked, TICK)
+            self._helpers.report_request.clear()
+            await wait_event(self._helpers.report_request, TICK)
 
     def on_request(self, sender: Member, content: bytes) -> None:
         """Answer a daemon with what it does not know.
@@ -122,10 +125,10 @@
             return
         update = RowsUpdate(
             request.table,
-            follower.newest,
+            follower.newest_version,
             [],
             [],
-            hears_store=follower.loaded and not follower.faulty,
+            hears_store=follower.loaded and not follower.store_unavailable,
         )
         if update.hears_store and update.newest > request.newest:
             update.rows.extend(_list_newer(follower, request.newest))
@@ -140,7 +143,11 @@
         self._reach.on_report(sender, hears_store=update.hears_store)
         self._helpers.on_report(sender, hears_store=update.hears_store)
         follower = self._followers.get(update.table)
-        if follower is None or not follower.faulty or not update.rows:
+        if (
+            follower is None
+            or not follower.store_unavailable
+            or not update.rows
+        ):
             return
         present = set(update.keys)
         gone = [
@@ -157,7 +164,7 @@
             rows=len(rows),
             newest=update.newest,
         )
-        follower.adopt([*rows, *gone])
+        follower.apply_rows([*rows, *gone])
 
     def _ask(self, follower: TableFollower) -> None:
         own = self._members.own
@@ -166,9 +173,9 @@
             for member in self._members.list_live()
             if member.vm != own.vm
         ]
-        request = RowsRequest(follower.table, follower.newest)
+        request = RowsRequest(follower.table, follower.newest_version)
         content = msgspec.msgpack.encode(request)
-        count = min(ASKED, len(others))
+        count = min(PEERS_PER_REQUEST, len(others))
         for member in self._random.sample(others, count):
             self._peers.send(member, Topic.rows_asked, content)
 
--- a/quetzalcourse/coordination/feeds/follower.py
+++ b/quetzalcourse/coordination/feeds/follower.py
@@ -74,34 +74,36 @@
         self._recovered_at = timedelta(0)
 
     @property
-    def faulty(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store fails to answer this daemon."""
-        return self._faulty or self.silent
+        return self._faulty or self.answer_overdue
 
     @property
-    def silent(self) -> bool:
+    def answer_overdue(self) -> bool:
         """Whether the store has not answered for longer than it ever waits."""
-        return self.silence > MAX_SILENCE
+        return self.time_since_answer > MAX_SILENCE
 
     @property
-    def cut(self) -> bool:
+    def persistently_unavailable(self) -> bool:
         """Whether the store has failed to answer more than once."""
         refused_for = self._clock.elapsed() - self._faulty_since
-        return self.silent or (self._faulty and refused_for > LASTING_FAULT)
+        return self.answer_overdue or (
+            self._faulty and refused_for > LASTING_FAULT
+        )
 
     @property
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """Version of the newest row that is known."""
         versions = (row.version for row in self.rows.values())
         return max(versions, default=0)
 
     @property
-    def silence(self) -> timedelta:
+    def time_since_answer(self) -> timedelta:
         """How long ago the store last answered."""
         return self._clock.elapsed() - self._answered_at
 
     @property
-    def steady_for(self) -> timedelta:
+    def healthy_for(self) -> timedelta:
         """How long the store has answered without a fault."""
         if self._faulty:
             return timedelta(0)
@@ -122,7 +124,7 @@
                 self._on_fault(fault)
                 await self._clock.sleep(RETRY)
 
-    def adopt(self, rows: list[Row]) -> None:
+    def apply_rows(self, rows: list[Row]) -> None:
         """Take rows, also from another daemon, if they are newer."""
         newer = [row for row in rows if self._is_newer(row)]
         for row in newer:
@@ -150,7 +152,7 @@
             return answer.err_value
         changes = answer.ok_value
         self._version = max(self._version, changes.version)
-        self.adopt(list(changes.rows))
+        self.apply_rows(list(changes.rows))
         return None
 
     async def _load(self) -> StoreFault | None:
@@ -165,7 +167,7 @@
             if key not in present
         ]
         self._version = version
-        self.adopt([*rows, *gone])
+        self.apply_rows([*rows, *gone])
         self.loaded = True
         return None
 
--- a/quetzalcourse/coordination/feeds/heartbeats.py
+++ b/quetzalcourse/coordination/feeds/heartbeats.py
@@ -22,7 +22,7 @@
 SLOW_WRITE = timedelta(seconds=0.4)
 
 
-def find_gap(daemons: int, *, urgent: bool) -> timedelta:
+def choose_heartbeat_interval(daemons: int, *, urgent: bool) -> timedelta:
     """Tell how soon a daemon heartbeats again.
 
     :param daemons: how many share the store.
@@ -35,7 +35,7 @@
     )
 
 
-def find_longest_silence(gap: timedelta, read_gap: timedelta) -> timedelta:
+def find_liveness_timeout(gap: timedelta, read_gap: timedelta) -> timedelta:
     """Tell after which silence a daemon counts as gone.
 
     :param gap: how soon it promised its next heartbeat.
--- a/quetzalcourse/coordination/feeds/presence.py
+++ b/quetzalcourse/coordination/feeds/presence.py
@@ -11,9 +11,9 @@
 from result import Err
 
 from quetzalcourse.coordination.feeds.heartbeats import (
-    find_gap,
+    choose_heartbeat_interval,
     SLOW_WRITE,
-    find_longest_silence,
+    find_liveness_timeout,
 )
 from quetzalcourse.coordination.tasks import wait_event
 from quetzalcourse.log import get_log
@@ -65,7 +65,7 @@
     gap: float = 0
 
 
-def name_row(one: Member | PresenceRecord) -> str:
+def format_row_key(one: Member | PresenceRecord) -> str:
     """Name the row of a daemon; the next run on its VM writes it too."""
     return f'{TABLE}/{one.data_centre}/{one.vm}'
 
@@ -117,7 +117,7 @@
         """Call a listener whenever a daemon came, left or began anew."""
         self._listeners.append(listener)
 
-    def on_urgency(self, ask: Callable[[], bool]) -> None:
+    def set_urgency_check(self, ask: Callable[[], bool]) -> None:
         """Ask before each heartbeat whether this daemon does urgent work."""
         self._is_urgent = ask
 
@@ -139,13 +139,13 @@
         """Tell whether a VM is judged by rows that are read directly."""
         return vm in self._watched
 
-    def on_unread(self, vm: str) -> None:
+    def on_read_failed(self, vm: str) -> None:
         """Learn that the row of a watched VM could not be read."""
         self._watched.update({vm: self._clock.elapsed()})
 
-    def find_row(self, vm: str) -> str:
+    def find_row_key(self, vm: str) -> str:
         """Name the row of a VM that is known."""
-        return name_row(self.records[vm])
+        return format_row_key(self.records[vm])
 
     def on_rows(self, rows: list[Row]) -> None:
         """Take rows that changed."""
@@ -251,7 +251,9 @@
         self._soon.clear()
         # A heartbeat that leaves urgent work behind still keeps the promise of
         # the one before it.
-        self._promised = find_gap(len(self.records), urgent=self._is_urgent())
+        self._promised = choose_heartbeat_interval(
+            len(self.records), urgent=self._is_urgent()
+        )
         record = PresenceRecord(
             self.own.vm,
             self.own.incarnation,
@@ -266,7 +268,7 @@
         )
         # The condition keeps out heartbeats of the run before whose answers
         # were lost: applied late, they would show that run as the living one.
-        key = name_row(self.own)
+        key = format_row_key(self.own)
         answer = await self._table.transact(
             Transaction(
                 (Condition(key, self._row_version or ABSENT),),
@@ -284,7 +286,7 @@
 
         :returns: whether the store answered.
         """
-        answer = await self._table.read(name_row(self.own))
+        answer = await self._table.read(format_row_key(self.own))
         if isinstance(answer, Err):
             return False
         row = answer.ok_value
@@ -310,7 +312,7 @@
         # the others; they have their time again once it is back.
         heard, longest = self._find_silence(vm)
         silent = self._clock.elapsed() - heard
-        return silent < longest or self._follower.steady_for < longest
+        return silent < longest or self._follower.healthy_for < longest
 
     def _is_overdue(self, vm: str, now: timedelta) -> bool:
         heard, longest = self._find_silence(vm)
@@ -325,12 +327,12 @@
         if watched_since is not None:
             heard = max(heard, watched_since)
             read_gap = self._watch_gap
-        return heard, find_longest_silence(self._find_gap(vm), read_gap)
+        return heard, find_liveness_timeout(self._find_gap(vm), read_gap)
 
     def _find_gap(self, vm: str) -> timedelta:
         record = self.records.get(vm)
         if record is None or not record.gap:
-            return find_gap(len(self.records), urgent=False)
+            return choose_heartbeat_interval(len(self.records), urgent=False)
         return timedelta(seconds=record.gap)
 
     def _tell(self) -> None:
--- a/quetzalcourse/coordination/feeds/reach.py
+++ b/quetzalcourse/coordination/feeds/readiness.py
@@ -21,14 +21,14 @@
     from quetzalcourse.state.members import Member
 
 # Silence of the store and of all other daemons that means a partition.
-CUT_AFTER = timedelta(seconds=1.9)
+PARTITION_TIMEOUT = timedelta(seconds=1.9)
 # Age until which another daemon's report counts.
 REACHABILITY_TTL = timedelta(seconds=1)
 LONG_AGO = timedelta(days=-1)
 log = get_log('reach')
 
 
-class StoreReach:
+class StoreReadiness:
     """What others say while the store does not answer this daemon.
 
     :param follower: table by which the store's answers are judged.
@@ -60,7 +60,7 @@
         if sender.data_centre != self._members.own.data_centre:
             self._outside_at = now
 
-    def welcomes(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether new callers are served here as well as elsewhere.
 
         While the store is down for everyone no other daemon is better off,
@@ -71,7 +71,7 @@
             log.warning(
                 'Callers are sent elsewhere.',
                 reason=reason,
-                silent_seconds=self._follower.silence.total_seconds(),
+                silent_seconds=self._follower.time_since_answer.total_seconds(),
             )
         elif reason == '' and not self._welcoming:
             log.info('Callers are welcome again.')
@@ -79,13 +79,17 @@
         return self._welcoming
 
     def _find_reason(self) -> str:
-        if not self._follower.cut:
+        if not self._follower.persistently_unavailable:
             return ''
         now = self._clock.elapsed()
         if now - self._hearing_at < REACHABILITY_TTL:
             return 'others reach the store'
         alone = now - self._outside_at >= REACHABILITY_TTL
-        if self._follower.silence > CUT_AFTER and alone and self._has_outside():
+        if (
+            self._follower.time_since_answer > PARTITION_TIMEOUT
+            and alone
+            and self._has_outside()
+        ):
             return 'data centre is cut off'
         return ''
 
--- a/quetzalcourse/coordination/feeds/store_helpers.py
+++ b/quetzalcourse/coordination/feeds/relay_peers.py
@@ -31,7 +31,7 @@
 LONG_AGO = timedelta(days=-1)
 
 
-class StoreHelpers:
+class RelayPeers:
     """Knows which daemons the store answers, as they say themselves.
 
     :param follower: table by which the store's answers here are judged.
@@ -39,7 +39,7 @@
 
     def __init__(self, follower: TableFollower, clock: Clock) -> None:
         """Begin without a report from anyone."""
-        self.asked = asyncio.Event()
+        self.report_request = asyncio.Event()
         self._follower = follower
         self._clock = clock
         self._reports: dict[str, tuple[Member, timedelta]] = {}
@@ -55,7 +55,7 @@
     @property
     def needed(self) -> bool:
         """Whether the store fails to answer this daemon."""
-        return self._follower.faulty
+        return self._follower.store_unavailable
 
     def on_report(self, sender: Member, *, hears_store: bool) -> None:
         """Take the report of another daemon.
@@ -68,7 +68,7 @@
         self._reports[sender.vm] = (sender, self._clock.elapsed())
         self._reported.set()
 
-    def on_miss(self, helper: Member) -> None:
+    def on_failure(self, helper: Member) -> None:
         """Learn that a daemon did not answer, or can't help any more."""
         self._reports.pop(helper.vm, None)
 
@@ -82,7 +82,7 @@
         ]
         return self._random.choice(fresh) if fresh else None
 
-    async def seek(self) -> Member | None:
+    async def find_or_wait(self) -> Member | None:
         """Find a daemon, and ask the others at once if none is known."""
         found = self.find()
         if found is not None:
@@ -91,7 +91,7 @@
         if now - self._asked_at >= ASK_INTERVAL:
             self._asked_at = now
             self._reported.clear()
-            self.asked.set()
+            self.report_request.set()
         await wait_event(self._reported, REPORT_WAIT)
         return self.find()
 
--- a/quetzalcourse/coordination/feeds/store_calls.py
+++ b/quetzalcourse/coordination/feeds/store_calls.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from quetzalcourse.coordination.feeds.relay import RowUpdate
+from quetzalcourse.coordination.feeds.feed_relay import RowUpdate
 from quetzalcourse.state.rows import (
     Changes,
     Commit,
--- a/quetzalcourse/coordination/feeds/store_relay.py
+++ b/quetzalcourse/coordination/feeds/store_relay.py
@@ -17,7 +17,7 @@
 from result import Err, Result
 
 from quetzalcourse.coordination.feeds import store_calls as calls
-from quetzalcourse.coordination.tasks import Tasks
+from quetzalcourse.coordination.tasks import BackgroundTasks
 from quetzalcourse.log import get_log
 from quetzalcourse.state.members import Topic
 from quetzalcourse.state.rows import FaultKind, StoreFault
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Collection
 
-    from quetzalcourse.coordination.feeds.store_helpers import StoreHelpers
+    from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
     from quetzalcourse.coordination.feeds.ports import ChangeFeed
     from quetzalcourse.coordination.ports import Peers, Table
     from quetzalcourse.state.counters import Counters
@@ -62,7 +62,7 @@
         table: Table,
         feed: ChangeFeed,
         peers: Peers,
-        helpers: StoreHelpers,
+        helpers: RelayPeers,
         tables: Collection[str],
         counters: Counters,
     ) -> None:
@@ -76,7 +76,7 @@
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[calls.StoreReply]] = {}
         self._helped = 0
-        self._tasks = Tasks('store relay')
+        self._tasks = BackgroundTasks('store relay')
         peers.subscribe(Topic.store_asked, self.on_request)
         peers.subscribe(Topic.store_told, self.on_message)
 
@@ -152,7 +152,7 @@
         request = msgspec.msgpack.decode(content, type=calls.StoreRequest)
         able = self._helped < MAX_HELPED and not self._helpers.needed
         if able and request.call.tables <= self._tables:
-            self._tasks.begin(self._help(sender, request))
+            self._tasks.start(self._help(sender, request))
             return
         fault = StoreFault(FaultKind.not_applied, NOT_HELPED, '')
         self._tell(sender, calls.tell_fault(request.number, fault))
@@ -181,14 +181,14 @@
             if not _asks_for_help(answer):
                 return answer
         for _ in range(MAX_HELPERS):
-            helper = await self._helpers.seek()
+            helper = await self._helpers.find_or_wait()
             if helper is None:
                 break
             reply = await self._ask(helper, call, wait + ANSWER_TIME)
             answer = reply.map(read)
             if not _is_turned_down(reply):
                 return answer
-            self._helpers.on_miss(helper)
+            self._helpers.on_failure(helper)
         return answer if answer is not None else await direct()
 
     async def _ask(
@@ -208,7 +208,7 @@
             async with asyncio.timeout(timeout.total_seconds()):
                 reply = await waiting
         except TimeoutError:
-            self._helpers.on_miss(helper)
+            self._helpers.on_failure(helper)
             answer: Answered = Err(
                 StoreFault(FaultKind.unanswered, 'relay', helper.address)
             )
--- a/quetzalcourse/coordination/forwarding/registrations.py
+++ b/quetzalcourse/coordination/forwarding/registrations.py
@@ -63,7 +63,7 @@
 
     def are_current(self) -> bool:
         """Tell whether entries come in as upstreams write them."""
-        return self._follower.steady_for > RETURN_TIME
+        return self._follower.healthy_for > RETURN_TIME
 
     async def run(self) -> None:
         """Give up lapsed entries once their time is over."""
--- a/quetzalcourse/coordination/manifest/receivers.py
+++ b/quetzalcourse/coordination/manifest/gossip_peers.py
@@ -14,7 +14,7 @@
 FAR = 1
 
 
-def choose_receivers(members: MemberView, random: Random) -> list[Member]:
+def choose_gossip_peers(members: MemberView, random: Random) -> list[Member]:
     """Choose whom to tell news at once; the rest hears it from them.
 
     :returns: a few daemons of the own data centre and one elsewhere.
--- a/quetzalcourse/coordination/manifest/key_table.py
+++ b/quetzalcourse/coordination/manifest/key_change_log.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import Table
 
-KEYS_KEY = 'heads/keys'
+KEYS_HEAD_KEY = 'heads/keys'
 LOG_PREFIX = 'keys/log/'
 PAGE = 1000
 TRIES = 8
@@ -42,7 +42,7 @@
         return 0
 
 
-class KeyTable:
+class KeyChangeLog:
     """Appends changes to a log in the table and reads them from it.
 
     :param table: the platform's table.
@@ -60,7 +60,7 @@
         :returns: sequence of the change.
         """
         for _ in range(TRIES):
-            read = await self._table.read(KEYS_KEY)
+            read = await self._table.read(KEYS_HEAD_KEY)
             if isinstance(read, Err):
                 return read
             row = read.ok_value
@@ -68,11 +68,13 @@
             written = await self._table.transact(
                 Transaction(
                     (
-                        Condition(KEYS_KEY, row.version if row else ABSENT),
+                        Condition(
+                            KEYS_HEAD_KEY, row.version if row else ABSENT
+                        ),
                         Condition(name_entry(sequence), ABSENT),
                     ),
                     (
-                        Write(KEYS_KEY, msgspec.json.encode(sequence)),
+                        Write(KEYS_HEAD_KEY, msgspec.json.encode(sequence)),
                         Write(
                             name_entry(sequence), msgspec.json.encode(record)
                         ),
--- a/quetzalcourse/coordination/manifest/key_spread.py
+++ b/quetzalcourse/coordination/manifest/key_gossip.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from quetzalcourse.coordination.manifest.receivers import choose_receivers
+from quetzalcourse.coordination.manifest.gossip_peers import choose_gossip_peers
 from quetzalcourse.state.members import Member, Topic
 from quetzalcourse.state.spread import KeyNews, SpreadKind
 
@@ -25,7 +25,7 @@
 RECORDS_PER_MESSAGE = 200
 
 
-class KeySpread:
+class KeyGossip:
     """Passes key changes on, and compares what others know.
 
     :param ring: holds the keys.
@@ -63,7 +63,7 @@
 
     def _pass_on(self, record: KeyRecord) -> None:
         news = KeyNews(SpreadKind.contents, records=[record])
-        for member in choose_receivers(self._members, self._random):
+        for member in choose_gossip_peers(self._members, self._random):
             self._send(member, news)
 
     def _receive(self, sender: Member, content: bytes) -> None:
@@ -76,7 +76,7 @@
         # difference to one daemon, which the others compare for themselves.
         fresh = len(news.records) == 1
         for record in news.records:
-            self._ring.merge(record, tell=fresh)
+            self._ring.merge(record, notify=fresh)
         if news.kind is SpreadKind.ask:
             self._answer(sender, news.buckets)
 
--- a/quetzalcourse/coordination/manifest/keys.py
+++ b/quetzalcourse/coordination/manifest/keys.py
@@ -70,10 +70,10 @@
         for key_id in before - set(self._manifest):
             self._end_if_withdrawn(key_id)
 
-    def merge(self, record: KeyRecord, tell: bool = True) -> bool:
+    def merge(self, record: KeyRecord, notify: bool = True) -> bool:
         """Take in a change; the order in which changes arrive is no matter.
 
-        :param tell: whether others should hear of it from here.
+        :param notify: whether others should hear of it from here.
         :returns: whether the change was news.
         """
         held = self.records.get(record.key_id)
@@ -85,7 +85,7 @@
             self._count(held)
         self.records[record.key_id] = joined
         self._end_if_withdrawn(record.key_id)
-        if tell:
+        if notify:
             for listener in self._record_listeners:
                 listener(joined)
         return True
--- a/quetzalcourse/coordination/manifest/manifest_spread.py
+++ b/quetzalcourse/coordination/manifest/manifest_gossip.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err
 
-from quetzalcourse.coordination.manifest.receivers import choose_receivers
+from quetzalcourse.coordination.manifest.gossip_peers import choose_gossip_peers
 from quetzalcourse.coordination.manifest.sections import (
     ManifestHead,
     list_missing,
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+    from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
     from quetzalcourse.coordination.membership.membership import Digest
     from quetzalcourse.coordination.ports import MemberView, Peers
     from quetzalcourse.state.clock import Clock
@@ -33,7 +33,7 @@
 log = get_log('spread')
 
 
-class ManifestSpread:
+class ManifestGossip:
     """Fetches newer manifests from other daemons, changed sections only.
 
     :param keeper: holds the manifest in force.
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        keeper: ManifestKeeper,
+        keeper: ManifestStore,
         members: MemberView,
         peers: Peers,
         clock: Clock,
@@ -89,7 +89,7 @@
             self._send(self._best[1], SpreadKind.ask)
 
     def _announce(self, _: Manifest) -> None:
-        for member in choose_receivers(self._members, self._random):
+        for member in choose_gossip_peers(self._members, self._random):
             self._send(member, SpreadKind.announce)
 
     def _receive(self, sender: Member, content: bytes) -> None:
@@ -145,7 +145,7 @@
             return
         self._pending = None
         self._contents = {}
-        taken = self._keeper.take(head, held)
+        taken = self._keeper.apply(head, held)
         if isinstance(taken, Err):
             self._counters.add('peer_messages_dropped', reason='manifest')
             log.warning('Manifest refused.', reason=taken.err_value)
--- a/quetzalcourse/coordination/manifest/manifest.py
+++ b/quetzalcourse/coordination/manifest/manifest_store.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quetzalcourse.coordination.ports import Objects, Table
+    from quetzalcourse.coordination.ports import ObjectStore, Table
 
 MANIFEST_KEY = 'heads/manifest'
 
@@ -46,14 +46,14 @@
     winner: int
 
 
-class ManifestKeeper:
+class ManifestStore:
     """Holds the manifest in force and moves it upwards only.
 
     :param table: holds the row that names the accepted version.
     :param objects: holds the sections by content hash.
     """
 
-    def __init__(self, table: Table, objects: Objects) -> None:
+    def __init__(self, table: Table, objects: ObjectStore) -> None:
         """Begin with no manifest in force."""
         self.current = Manifest()
         self.head = NO_HEAD
@@ -66,7 +66,7 @@
         """Call a listener with every manifest that comes into force."""
         self._listeners.append(listener)
 
-    def adopt(self, manifest: Manifest) -> bool:
+    def activate(self, manifest: Manifest) -> bool:
         """Bring a manifest into force if it is newer than the one that is.
 
         :param manifest: an accepted manifest.
@@ -79,7 +79,7 @@
             listener(manifest)
         return True
 
-    def take(
+    def apply(
         self,
         head: ManifestHead,
         contents: dict[str, bytes],
@@ -105,7 +105,7 @@
         self.sections = {
             head.sections[name]: content for name, content in sections.items()
         }
-        return Ok(self.adopt(joined.ok_value))
+        return Ok(self.activate(joined.ok_value))
 
     async def refresh(self) -> Result[int, StoreFault]:
         """Read the accepted version and adopt it.
@@ -115,9 +115,11 @@
         answer = await self._table.read(MANIFEST_KEY)
         if isinstance(answer, Err):
             return answer
-        return await self.follow(answer.ok_value)
+        return await self.refresh_from_row(answer.ok_value)
 
-    async def follow(self, row: Row | None) -> Result[int, StoreFault]:
+    async def refresh_from_row(
+        self, row: Row | None
+    ) -> Result[int, StoreFault]:
         """Adopt the version that a row names, with the store's sections.
 
         :param row: the row :data:`MANIFEST_KEY` as it was read.
@@ -136,7 +138,7 @@
                 return answer
             if answer.ok_value is not None:
                 contents[digest] = answer.ok_value
-        taken = self.take(head, contents)
+        taken = self.apply(head, contents)
         if isinstance(taken, Err):
             return Err(_refuse_bytes(taken.err_value))
         return Ok(self.current.version)
@@ -177,11 +179,11 @@
             return read
         found = read.ok_value
         wanted = ManifestHead(replaces + 1, hashes)
-        if found.includes(wanted):
+        if found.has_accepted(wanted):
             return Ok(wanted.version)
         if found.version != replaces:
             return Err(ManifestConflict(found.version))
-        head = found.precede(hashes)
+        head = found.make_successor(hashes)
         written = await self._table.transact(
             Transaction(
                 (Condition(MANIFEST_KEY, row.version if row else ABSENT),),
@@ -209,7 +211,7 @@
         if isinstance(read, Err):
             return read
         found = read.ok_value
-        if found.includes(head):
+        if found.has_accepted(head):
             return Ok(head.version)
         if found.version < head.version:
             return Err(
--- a/quetzalcourse/coordination/manifest/sections.py
+++ b/quetzalcourse/coordination/manifest/sections.py
@@ -50,11 +50,11 @@
         """Name the content, whatever its version."""
         return hash_content(msgspec.json.encode(self.sections, order='sorted'))
 
-    def includes(self, other: ManifestHead) -> bool:
+    def has_accepted(self, other: ManifestHead) -> bool:
         """Tell whether another head is this one or was accepted before."""
         return self.accepted.get(other.version) == other.fingerprint()
 
-    def precede(self, sections: dict[str, str]) -> ManifestHead:
+    def make_successor(self, sections: dict[str, str]) -> ManifestHead:
         """Make the head of the next version.
 
         :param sections: content hashes of the next version.
--- a/quetzalcourse/coordination/manifest/following.py
+++ b/quetzalcourse/coordination/manifest/store_poller.py
@@ -7,20 +7,20 @@
 
 from result import Err
 
-from quetzalcourse.coordination.manifest.key_table import (
-    KEYS_KEY,
+from quetzalcourse.coordination.manifest.key_change_log import (
+    KEYS_HEAD_KEY,
     read_sequence,
 )
-from quetzalcourse.coordination.manifest.manifest import MANIFEST_KEY
+from quetzalcourse.coordination.manifest.manifest_store import MANIFEST_KEY
 from quetzalcourse.log import get_log
 
 if TYPE_CHECKING:
     from datetime import datetime
     from random import Random
 
-    from quetzalcourse.coordination.manifest.key_table import KeyTable
+    from quetzalcourse.coordination.manifest.key_change_log import KeyChangeLog
     from quetzalcourse.coordination.manifest.keys import KeyRing
-    from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+    from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
     from quetzalcourse.coordination.ports import MemberView, Table
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.keys import KeyRecord
@@ -33,7 +33,7 @@
 log = get_log('following')
 
 
-class StoreFollower:
+class StorePoller:
     """Reads what changed in the store, in turns with the data centre.
 
     Each daemon waits as many intervals as daemons are live in its data
@@ -46,8 +46,8 @@
     def __init__(
         self,
         table: Table,
-        keeper: ManifestKeeper,
-        keys: KeyTable,
+        keeper: ManifestStore,
+        keys: KeyChangeLog,
         ring: KeyRing,
         members: MemberView,
         clock: Clock,
@@ -55,7 +55,7 @@
         interval: timedelta,
     ) -> None:
         """Begin with nothing read."""
-        self.cut_since: datetime | None = None
+        self.unreachable_since: datetime | None = None
         self.read_at: timedelta | None = None
         self._table = table
         self._keeper = keeper
@@ -102,17 +102,17 @@
             self._note_fault(answer.err_value)
             return
         rows = {row.key: row for row in answer.ok_value}
-        followed = await self._keeper.follow(rows.get(MANIFEST_KEY))
+        followed = await self._keeper.refresh_from_row(rows.get(MANIFEST_KEY))
         if isinstance(followed, Err):
             self._note_fault(followed.err_value)
             return
-        fault = await self._follow_keys(rows.get(KEYS_KEY))
+        fault = await self._follow_keys(rows.get(KEYS_HEAD_KEY))
         if fault is not None:
             self._note_fault(fault)
             return
         self.read_at = began
-        if self.cut_since is not None:
-            self.cut_since = None
+        if self.unreachable_since is not None:
+            self.unreachable_since = None
             log.info('Store is read again.')
 
     async def _follow_keys(self, row: Row | None) -> StoreFault | None:
@@ -126,7 +126,7 @@
             sequence, records = read.ok_value
             self._sequence = sequence
             for record in records:
-                self._take(record, tell=not starting)
+                self._take(record, notify=not starting)
         for unstored in self.list_unstored()[:WRITES_PER_POLL]:
             written = await self._keys.append(unstored)
             if isinstance(written, Err):
@@ -134,14 +134,14 @@
             self._stored[unstored.key_id] = unstored
         return None
 
-    def _take(self, record: KeyRecord, tell: bool) -> None:
-        self._ring.merge(record, tell=tell)
+    def _take(self, record: KeyRecord, notify: bool) -> None:
+        self._ring.merge(record, notify=notify)
         known = self._stored.get(record.key_id)
         self._stored[record.key_id] = known.join(record) if known else record
 
     def _note_fault(self, fault: StoreFault) -> None:
-        if self.cut_since is None:
-            self.cut_since = self._clock.now()
+        if self.unreachable_since is None:
+            self.unreachable_since = self._clock.now()
             log.warning('Store not read.', step=fault.step, peer=fault.peer)
 
     def _draw_share(self) -> float:
--- a/quetzalcourse/coordination/membership/roster.py
+++ b/quetzalcourse/coordination/membership/member_list.py
@@ -42,7 +42,7 @@
     repeats: int
 
 
-class Roster:
+class MemberList:
     """Merges news of daemons; the order in which it arrives is no matter."""
 
     def __init__(self) -> None:
--- a/quetzalcourse/coordination/membership/membership.py
+++ b/quetzalcourse/coordination/membership/membership.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from quetzalcourse.coordination.membership.probes import Probes, Rotation
-from quetzalcourse.coordination.membership.roster import Roster
+from quetzalcourse.coordination.membership.member_list import MemberList
 from quetzalcourse.log import get_log
 from quetzalcourse.state.heartbeats import (
     Change,
@@ -36,21 +36,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MembershipPlan:
+class MembershipTimings:
     """Rates and patience of the heartbeats.
 
     :param tick: time between two heartbeats within the data centre.
     :param remote_ticks: ticks between two heartbeats to other data centres.
-    :param answer_within: time after which a heartbeat counts as unanswered.
-    :param suspicion: time that a suspect has to refute.
-    :param view_wait: least time between two requests for a whole view.
+    :param probe_timeout: time after which a heartbeat counts as unanswered.
+    :param suspicion_timeout: time that a suspect has to refute.
+    :param view_request_interval: least time between two whole-view requests.
     """
 
     tick: timedelta = timedelta(milliseconds=500)
     remote_ticks: int = 4
-    answer_within: timedelta = timedelta(seconds=1)
-    suspicion: timedelta = timedelta(seconds=4)
-    view_wait: timedelta = timedelta(seconds=3)
+    probe_timeout: timedelta = timedelta(seconds=1)
+    suspicion_timeout: timedelta = timedelta(seconds=4)
+    view_request_interval: timedelta = timedelta(seconds=3)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 
     :param own: this daemon.
     :param random: source of every random choice.
-    :ivar tell: tells what this daemon holds, for each heartbeat.
+    :ivar build_digest: tells what this daemon holds, for each heartbeat.
     """
 
     def __init__(
@@ -82,19 +82,19 @@
         clock: Clock,
         random: Random,
         counters: Counters,
-        plan: MembershipPlan | None = None,
+        timings: MembershipTimings | None = None,
     ) -> None:
         """Begin alone."""
         self.own = own
-        self.tell: Callable[[], Digest] = Digest
+        self.build_digest: Callable[[], Digest] = Digest
         self._peers = peers
         self._clock = clock
         self._random = random
         self._counters = counters
-        self._plan = plan or MembershipPlan()
+        self._timings = timings or MembershipTimings()
         self._counter = 1
-        self._roster = Roster()
-        self._probes = Probes(self._plan.answer_within)
+        self._roster = MemberList()
+        self._probes = Probes(self._timings.probe_timeout)
         self._near = Rotation(random)
         self._far = Rotation(random)
         self._seeds: tuple[str, ...] = ()
@@ -124,7 +124,7 @@
         """Call a listener with what each heartbeat says of its sender."""
         self._digest_listeners.append(listener)
 
-    def seed(self, addresses: Iterable[str]) -> None:
+    def replace_seeds(self, addresses: Iterable[str]) -> None:
         """Name addresses at which daemons may be; this evicts nobody."""
         self._seeds = tuple(sorted(set(addresses) - {self.own.address}))
 
@@ -143,7 +143,7 @@
                 )
         self._refresh()
 
-    def on_own(self, listener: Callable[[Member], None]) -> None:
+    def on_own_change(self, listener: Callable[[Member], None]) -> None:
         """Call a listener whenever the own member changed."""
         self._own_listeners.append(listener)
 
@@ -165,7 +165,7 @@
         self._ticked = self._clock.elapsed()
         while True:
             self.tick()
-            await self._clock.sleep(self._plan.tick)
+            await self._clock.sleep(self._timings.tick)
 
     def tick(self) -> None:
         """Judge silences and send the heartbeats that are due."""
@@ -173,7 +173,7 @@
         gap = now - self._ticked
         self._ticked = now
         self._ticks += 1
-        if gap > self._plan.tick * PAUSE_FACTOR:
+        if gap > self._timings.tick * PAUSE_FACTOR:
             # This process stood still, so answers that came meanwhile are
             # still unread. Judging others now would evict live daemons in
             # bulk after each own pause.
@@ -194,7 +194,7 @@
             if self._roster.judge(failed, Standing.suspect, now):
                 self._counters.add('suspicions')
                 self._ping(failed, now)
-        if self._roster.expire(self._plan.suspicion, now):
+        if self._roster.expire(self._timings.suspicion_timeout, now):
             self._refresh()
 
     def _send_due(self, now: timedelta) -> None:
@@ -205,7 +205,7 @@
         )
         if near is not None:
             self._ping(near, now)
-        if self._ticks % self._plan.remote_ticks == 1 or not near:
+        if self._ticks % self._timings.remote_ticks == 1 or not near:
             far = self._far.choose(
                 [peer for peer in self._live if peer.data_centre != centre],
                 self.own,
@@ -325,7 +325,7 @@
             return
         # News on its way makes lists differ for a moment; only a difference
         # that lasts, or a list that has just begun, is worth a whole view.
-        wait = self._plan.view_wait * (1 + self._random.random())
+        wait = self._timings.view_request_interval * (1 + self._random.random())
         alone = len(self._live) <= 2
         if alone or now - self._agreed > wait:
             self._agreed = now
@@ -349,7 +349,7 @@
         subject: str = '',
         hashes: dict[str, int] | None = None,
     ) -> None:
-        digest = self.tell()
+        digest = self.build_digest()
         news = changes or []
         if kind in {HeartbeatKind.ping, HeartbeatKind.answer}:
             news = news + self._roster.take_rumours(CHANGES_PER_MESSAGE)
--- a/quetzalcourse/coordination/membership/cuts.py
+++ b/quetzalcourse/coordination/membership/partitions.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from datetime import datetime
 
-    from quetzalcourse.coordination.manifest.following import StoreFollower
+    from quetzalcourse.coordination.manifest.store_poller import StorePoller
     from quetzalcourse.coordination.membership.membership import Digest
     from quetzalcourse.coordination.ports import MemberView
     from quetzalcourse.state.clock import Clock
@@ -19,20 +19,20 @@
 WATCH_EVERY = timedelta(seconds=1)
 
 
-class News:
+class StoreFreshness:
     """Tells how old the newest word from the store is.
 
     Each heartbeat carries the age that its sender knows of, so a daemon that
     rarely reads the store itself still knows that its data centre hears it.
     """
 
-    def __init__(self, follower: StoreFollower, clock: Clock) -> None:
+    def __init__(self, follower: StorePoller, clock: Clock) -> None:
         """Begin without any news."""
         self._follower = follower
         self._clock = clock
         self._heard: timedelta | None = None
 
-    def tell_age(self) -> timedelta | None:
+    def find_age(self) -> timedelta | None:
         """Tell the age of the newest word, ``None`` if there was none."""
         times = [
             time
@@ -56,11 +56,11 @@
         """
         if longest is None:
             return True
-        age = self.tell_age()
+        age = self.find_age()
         return age is not None and age <= longest
 
 
-class Cuts:
+class PartitionTracker:
     """Keeps the list of what can't be reached.
 
     :param follower: knows whether the platform answers this daemon.
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        follower: StoreFollower,
+        follower: StorePoller,
         members: MemberView,
         clock: Clock,
         counters: Counters,
@@ -82,14 +82,14 @@
         self._lost: dict[str, datetime] = {}
         members.on_change(self._on_members)
 
-    def list_cuts(self) -> dict[str, datetime]:
+    def list_partitions(self) -> dict[str, datetime]:
         """List what is cut, and since when.
 
         :returns: times by ``platform`` or the data centre's name.
         """
         cuts = dict(self._lost)
-        if self._follower.cut_since is not None:
-            cuts[PLATFORM] = self._follower.cut_since
+        if self._follower.unreachable_since is not None:
+            cuts[PLATFORM] = self._follower.unreachable_since
         return cuts
 
     async def run(self) -> None:
@@ -101,7 +101,7 @@
     def show(self) -> None:
         """Write the length of each cut into the metrics, 0 if healed."""
         now = self._clock.now()
-        cuts = self.list_cuts()
+        cuts = self.list_partitions()
         for name in (PLATFORM, *self._known):
             since = cuts.get(name, now)
             seconds = (now - since).total_seconds()
--- a/quetzalcourse/coordination/membership/probes.py
+++ b/quetzalcourse/coordination/membership/probes.py
@@ -30,12 +30,12 @@
 class Probes:
     """Follows heartbeats until they are answered or fail.
 
-    :param answer_within: time for an answer; others then get as long.
+    :param probe_timeout: time for an answer; others then get as long.
     """
 
-    def __init__(self, answer_within: timedelta) -> None:
+    def __init__(self, probe_timeout: timedelta) -> None:
         """Begin with none."""
-        self._answer_within = answer_within
+        self._answer_within = probe_timeout
         self._open: dict[str, Probe] = {}
         self._requesters: dict[str, list[Member]] = {}
 
--- a/quetzalcourse/coordination/membership/status.py
+++ b/quetzalcourse/coordination/membership/status.py
@@ -8,7 +8,7 @@
     from collections.abc import Callable
 
 
-class StatusBoard:
+class StatusRegistry:
     """Collects what ``/status`` shows."""
 
     def __init__(self) -> None:
@@ -22,6 +22,6 @@
         """
         self._sources[name] = tell
 
-    def read(self) -> dict[str, Any]:
+    def collect(self) -> dict[str, Any]:
         """Ask every part."""
         return {name: tell() for name, tell in self._sources.items()}
--- a/quetzalcourse/coordination/ports.py
+++ b/quetzalcourse/coordination/ports.py
@@ -68,7 +68,7 @@
         """Write rows together if every condition holds."""
 
 
-class Objects(Protocol):
+class ObjectStore(Protocol):
     """The platform's object store."""
 
     async def get(self, name: str) -> Result[bytes | None, StoreFault]:
@@ -156,7 +156,7 @@
         """Tell the newest published version of a model, zero for none."""
 
 
-class Generator(Protocol):
+class GenerationService(Protocol):
     """Part of the daemon that runs requests for tokens."""
 
     def run(self, request: GenerationRequest) -> AsyncIterator[Chunk]:
--- a/quetzalcourse/coordination/quarantine/end_updates.py
+++ b/quetzalcourse/coordination/quarantine/end_updates.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from quetzalcourse.coordination.tasks import Tasks
+from quetzalcourse.coordination.tasks import BackgroundTasks
 from quetzalcourse.state.members import Topic
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
         self._peers = peers
         self._clock = clock
         self._reports: list[EndReport] = []
-        self._tasks = Tasks('end updates')
+        self._tasks = BackgroundTasks('end updates')
         quarantine.on_own_end(self.tell_end)
         quarantine.on_own_answer(self.tell_answer)
         peers.subscribe(Topic.upstream_ends, self.on_message)
@@ -93,7 +93,7 @@
     def _tell(self, report: EndReport) -> None:
         self._reports.append(report)
         if len(self._reports) == 1:
-            self._tasks.begin(self._send())
+            self._tasks.start(self._send())
 
     async def _send(self) -> None:
         await self._clock.sleep(SEND_DELAY)
--- a/quetzalcourse/coordination/quarantine/quarantine_rows.py
+++ b/quetzalcourse/coordination/quarantine/quarantine_rows.py
@@ -15,7 +15,7 @@
 from result import Ok
 
 from quetzalcourse.coordination.quarantine.records import QUARANTINE_RETENTION
-from quetzalcourse.coordination.tasks import Tasks, wait_event
+from quetzalcourse.coordination.tasks import BackgroundTasks, wait_event
 from quetzalcourse.log import get_log
 from quetzalcourse.state.rows import ABSENT, Condition, Transaction, Write
 
@@ -75,7 +75,7 @@
         self._lifted: dict[str, timedelta] = {}
         self._claims: set[str] = set()
         self._wake = asyncio.Event()
-        self._tasks = Tasks('quarantine')
+        self._tasks = BackgroundTasks('quarantine')
         follower.on_rows(self.on_rows)
         quarantine.on_quarantine(self._on_quarantine)
         quarantine.on_own_answer(self._on_answer)
@@ -116,7 +116,7 @@
         """Claim the trial of a request without waiting."""
         if fingerprint not in self._claims:
             self._claims.add(fingerprint)
-            self._tasks.begin(self._claim_later(fingerprint))
+            self._tasks.start(self._claim_later(fingerprint))
 
     async def claim(self, fingerprint: str) -> bool:
         """Begin the quarantine of a request anew, unless another daemon does.
--- a/quetzalcourse/coordination/steps/dispatching.py
+++ b/quetzalcourse/coordination/steps/dispatching.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from quetzalcourse.coordination.ports import Generator
+    from quetzalcourse.coordination.ports import GenerationService
     from quetzalcourse.coordination.steps.staleness import NewestVersions
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -77,7 +77,7 @@
     :param plan: chooses the stragglers to help.
     """
 
-    generation: Generator
+    generation: GenerationService
     clock: Clock
     counters: Counters
     newest: NewestVersions
--- a/quetzalcourse/coordination/steps/sample_making.py
+++ b/quetzalcourse/coordination/steps/sample_making.py
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from quetzalcourse.coordination.ports import Generator
+    from quetzalcourse.coordination.ports import GenerationService
     from quetzalcourse.coordination.steps.staleness import NewestVersions
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -54,7 +54,7 @@
     :param on_tokens: called when a sample's first token comes.
     """
 
-    generation: Generator
+    generation: GenerationService
     clock: Clock
     counters: Counters
     newest: NewestVersions
--- a/quetzalcourse/coordination/steps/step_assembly.py
+++ b/quetzalcourse/coordination/steps/step_assembly.py
@@ -12,9 +12,9 @@
     RescuePlan,
 )
 from quetzalcourse.coordination.ports import (
-    Generator,
+    GenerationService,
     MemberView,
-    Objects,
+    ObjectStore,
     Scorer,
     Table,
     WeightStore,
@@ -33,7 +33,7 @@
     from quetzalcourse.state.counters import Counters
 
 
-class StepStore(Table, Objects, Protocol):
+class StepStore(Table, ObjectStore, Protocol):
     """The platform's store."""
 
 
@@ -43,7 +43,7 @@
 
 def build_steps(
     platform: StepPlatform,
-    generation: Generator,
+    generation: GenerationService,
     clock: Clock,
     counters: Counters,
     levels: ServiceLevels,
--- a/quetzalcourse/coordination/steps/step_directory.py
+++ b/quetzalcourse/coordination/steps/step_directory.py
@@ -23,7 +23,7 @@
 from quetzalcourse.state.steps import DeliveryRecord, RunReport, StepSpec
 
 if TYPE_CHECKING:
-    from quetzalcourse.coordination.ports import Objects, Table
+    from quetzalcourse.coordination.ports import ObjectStore, Table
     from quetzalcourse.state.refusal import Refusal
     from quetzalcourse.state.rows import Commit, StoreFault
 
@@ -36,7 +36,7 @@
     :param objects: holds the prompts, under their hash.
     """
 
-    def __init__(self, table: Table, objects: Objects) -> None:
+    def __init__(self, table: Table, objects: ObjectStore) -> None:
         """Begin without a remembered step."""
         self._table = table
         self._objects = objects
--- a/quetzalcourse/coordination/steps/steps.py
+++ b/quetzalcourse/coordination/steps/steps.py
@@ -35,7 +35,7 @@
 )
 
 if TYPE_CHECKING:
-    from quetzalcourse.coordination.ports import MemberView, Objects
+    from quetzalcourse.coordination.ports import MemberView, ObjectStore
     from quetzalcourse.coordination.steps.step_runner import RunParts
 
 STEP_TERMS = LeaseTerms(timedelta(seconds=6), timedelta(seconds=1))
@@ -57,7 +57,7 @@
     def __init__(
         self,
         parts: RunParts,
-        objects: Objects,
+        objects: ObjectStore,
         members: MemberView,
     ) -> None:
         """Begin with no step running."""
--- a/quetzalcourse/coordination/tasks.py
+++ b/quetzalcourse/coordination/tasks.py
@@ -14,7 +14,7 @@
 log = get_log('tasks')
 
 
-class Tasks:
+class BackgroundTasks:
     """Keeps tasks until they end.
 
     The loop itself holds a task only weakly: one that nobody else holds may
@@ -29,7 +29,7 @@
         self._name = name
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def begin(self, body: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def start(self, body: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Begin a task."""
         task = asyncio.get_running_loop().create_task(body)
         self._tasks.add(task)
--- a/quetzalcourse/coordination/versions/load_orders.py
+++ b/quetzalcourse/coordination/versions/load_orders.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
-from quetzalcourse.coordination.tasks import Tasks, wait_event
+from quetzalcourse.coordination.tasks import BackgroundTasks, wait_event
 from quetzalcourse.coordination.versions.load_plan import LoadView, plan_loads
 from quetzalcourse.log import get_log
 
@@ -128,7 +128,7 @@
         self._clock = clock
         self._counters = counters
         self._holder = holder
-        self._tasks = Tasks('loads')
+        self._tasks = BackgroundTasks('loads')
         self._models: dict[str, str] = {}
         self._rests: dict[str, timedelta] = {}
         self._sequences: dict[tuple[str, int], int] = {}
@@ -199,7 +199,7 @@
         if upstream is None:
             return
         self._models[load.upstream] = load.model
-        self._tasks.begin(self._load(load, upstream, service))
+        self._tasks.start(self._load(load, upstream, service))
 
     async def _load(
         self,
--- a/quetzalcourse/feed_parts.py
+++ b/quetzalcourse/feed_parts.py
@@ -10,10 +10,10 @@
 from quetzalcourse.coordination.batches import batch_rows
 from quetzalcourse.coordination.feeds import presence
 from quetzalcourse.coordination.feeds.follower import TableFollower
-from quetzalcourse.coordination.feeds.store_helpers import StoreHelpers
+from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
 from quetzalcourse.coordination.feeds.liveness_probes import LivenessProbes
-from quetzalcourse.coordination.feeds.reach import StoreReach
-from quetzalcourse.coordination.feeds.relay import FeedRelay
+from quetzalcourse.coordination.feeds.readiness import StoreReadiness
+from quetzalcourse.coordination.feeds.feed_relay import FeedRelay
 from quetzalcourse.coordination.feeds.store_relay import StoreRelay
 
 if TYPE_CHECKING:
@@ -56,10 +56,10 @@
     batches: TableFollower
     members: TableFollower
     presence: presence.Presence
-    reach: StoreReach
+    reach: StoreReadiness
     relay: FeedRelay
     store: StoreRelay
-    helpers: StoreHelpers
+    helpers: RelayPeers
     probes: LivenessProbes
 
     def on_members(self) -> None:
@@ -111,7 +111,7 @@
         counters,
         single_part=True,
     )
-    helpers = StoreHelpers(operators, clock)
+    helpers = RelayPeers(operators, clock)
     by_others = StoreRelay(
         store.table, store.feed, peers, helpers, RELAYED_TABLES, counters
     )
@@ -130,7 +130,7 @@
         counts.inherit,
         wall_clock,
     )
-    reach = StoreReach(operators, heartbeats, clock)
+    reach = StoreReadiness(operators, heartbeats, clock)
     relay = FeedRelay(
         (operators, upstreams),
         peers,
@@ -161,6 +161,6 @@
     return parts
 
 
-def _reaches_store(follower: TableFollower, helpers: StoreHelpers) -> bool:
+def _reaches_store(follower: TableFollower, helpers: RelayPeers) -> bool:
     """Tell whether the store answers, or answers a daemon that helps."""
-    return not follower.faulty or helpers.find() is not None
+    return not follower.store_unavailable or helpers.find() is not None
--- a/quetzalcourse/peering.py
+++ b/quetzalcourse/peering.py
@@ -9,15 +9,18 @@
 
 from result import Ok
 
-from quetzalcourse.coordination.membership.cuts import Cuts, News
-from quetzalcourse.coordination.manifest.following import StoreFollower
-from quetzalcourse.coordination.manifest.key_spread import KeySpread
-from quetzalcourse.coordination.manifest.key_table import KeyTable
-from quetzalcourse.coordination.manifest.manifest_spread import ManifestSpread
+from quetzalcourse.coordination.membership.partitions import (
+    PartitionTracker,
+    StoreFreshness,
+)
+from quetzalcourse.coordination.manifest.store_poller import StorePoller
+from quetzalcourse.coordination.manifest.key_gossip import KeyGossip
+from quetzalcourse.coordination.manifest.key_change_log import KeyChangeLog
+from quetzalcourse.coordination.manifest.manifest_gossip import ManifestGossip
 from quetzalcourse.coordination.membership.membership import (
     Digest,
     Membership,
-    MembershipPlan,
+    MembershipTimings,
 )
 from quetzalcourse.state.members import Member
 from quetzalcourse.transport.peer_link import PeerLink
@@ -26,7 +29,7 @@
     from collections.abc import Callable
 
     from quetzalcourse.coordination.manifest.keys import KeyRing
-    from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+    from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.settings.process import ProcessSettings
     from quetzalcourse.state.clock import Clock
@@ -76,7 +79,7 @@
     def follow(
         self,
         platform: PlatformClient,
-        manifest: ManifestKeeper,
+        manifest: ManifestStore,
         keys: KeyRing,
     ) -> None:
         """Build what follows the store and the other daemons.
@@ -88,18 +91,18 @@
         self._manifest = manifest
         self._keys = keys
         wait = timedelta(seconds=self._settings.platform.refresh_seconds)
-        self.follower = StoreFollower(
+        self.follower = StorePoller(
             platform,
             manifest,
-            KeyTable(platform),
+            KeyChangeLog(platform),
             keys,
             self.members,
             self._clock,
             self._random,
             wait,
         )
-        self.news = News(self.follower, self._clock)
-        self.cuts = Cuts(
+        self.news = StoreFreshness(self.follower, self._clock)
+        self.cuts = PartitionTracker(
             self.follower, self.members, self._clock, self._counters
         )
         shared = (
@@ -109,10 +112,10 @@
             self._random,
             self._counters,
         )
-        self.members.on_digest(ManifestSpread(manifest, *shared).on_digest)
-        self.members.on_digest(KeySpread(keys, *shared).on_digest)
+        self.members.on_digest(ManifestGossip(manifest, *shared).on_digest)
+        self.members.on_digest(KeyGossip(keys, *shared).on_digest)
         self.members.on_digest(self.news.on_digest)
-        self.members.tell = self._tell_digest
+        self.members.build_digest = self._tell_digest
         keys.is_current = self._is_current
 
     def on_vms(self, listener: Callable[[list[Vm]], None]) -> None:
@@ -136,7 +139,7 @@
 
     def describe(self) -> dict[str, Any]:
         """Tell the state of all this for ``/status``."""
-        age = self.news.tell_age()
+        age = self.news.find_age()
         return {
             'incarnation': self.members.own.incarnation,
             'leaving': self.members.own.leaving,
@@ -149,7 +152,7 @@
             'news_age_seconds': age.total_seconds() if age else None,
             'cut_since': {
                 name: since.isoformat()
-                for name, since in self.cuts.list_cuts().items()
+                for name, since in self.cuts.list_partitions().items()
             },
         }
 
@@ -161,20 +164,20 @@
             self._clock,
             self._random,
             self._counters,
-            MembershipPlan(
+            MembershipTimings(
                 tick=timedelta(seconds=peering.tick_seconds),
-                suspicion=timedelta(seconds=peering.suspicion_seconds),
+                suspicion_timeout=timedelta(seconds=peering.suspicion_seconds),
             ),
         )
-        members.on_own(self.link.replace_own)
-        members.seed(peering.seeds)
+        members.on_own_change(self.link.replace_own)
+        members.replace_seeds(peering.seeds)
         return members
 
     def _tell_digest(self) -> Digest:
         return Digest(
             self._manifest.current.version,
             self._keys.hash_records(),
-            self.news.tell_age(),
+            self.news.find_age(),
         )
 
     def _is_current(self) -> bool:
@@ -189,7 +192,7 @@
             if isinstance(answer, Ok):
                 vms = answer.ok_value
                 seeds = list(self._settings.peering.seeds)
-                self.members.seed(seeds + [vm.address for vm in vms])
+                self.members.replace_seeds(seeds + [vm.address for vm in vms])
                 self.members.note_leaving(
                     vm.address for vm in vms if vm.leaving
                 )
--- a/quetzalcourse/rollout_application.py
+++ b/quetzalcourse/rollout_application.py
@@ -319,7 +319,7 @@
             self.routes.manifest is not None
             and self.feeds.upstreams.loaded
             and not self.activity.draining
-            and self.feeds.reach.welcomes()
+            and self.feeds.reach.is_ready()
         )
         known = path == self._deployment.readiness_path
         return (OK, b'ready') if ready and known else (UNAVAILABLE, b'')
@@ -341,7 +341,7 @@
         ):
             self.counters.set(
                 'store_silence_seconds',
-                feed.silence.total_seconds(),
+                feed.time_since_answer.total_seconds(),
                 table=feed.table,
             )
         self.batches.runner.describe(self.counters)
--- a/quetzalcourse/standins/deployment.py
+++ b/quetzalcourse/standins/deployment.py
@@ -6,7 +6,7 @@
 
 from quetzalcourse.application import Application
 from quetzalcourse.coordination.manifest.keys import hash_secret
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
 from quetzalcourse.settings.process import ProcessSettings
 from quetzalcourse.standins.engine import EngineStandin
 from quetzalcourse.standins.platform import PlatformStandin
@@ -159,7 +159,7 @@
         for standin in self._list_standins():
             await standin.start()
         await self.daemon.on_start()
-        keeper = ManifestKeeper(self.daemon.platform, self.daemon.platform)
+        keeper = ManifestStore(self.daemon.platform, self.daemon.platform)
         manifest = build_manifest(self.engines, self.services)
         (await keeper.accept(manifest, 0)).unwrap()
         (await self.daemon.manifest.refresh()).unwrap()
--- a/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
+++ b/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
@@ -92,7 +92,7 @@
             clock,
             Residency({}, RouteTable()),
         )
-        batches.adopt(world.list_batch_rows())
+        batches.apply_rows(world.list_batch_rows())
         self._tasks = [
             asyncio.ensure_future(body)
             for body in (follower.run(), watch.run())
@@ -166,7 +166,7 @@
 
     def read_gap(self) -> float:
         """Read how soon the owner promises its next heartbeat."""
-        row = self.feed.rows[members.name_row(self.owner)]
+        row = self.feed.rows[members.format_row_key(self.owner)]
         record = msgspec.json.decode(row.content, type=members.PresenceRecord)
         return record.gap
 
@@ -185,7 +185,7 @@
             cores=one.cores,
             gap=gap,
         )
-        self.feed.put(members.name_row(one), msgspec.json.encode(record))
+        self.feed.put(members.format_row_key(one), msgspec.json.encode(record))
 
 
 @pytest.mark.parametrize('rank', range(WATCHERS))
@@ -237,7 +237,7 @@
     urgent = True
     owner = Daemon(world, world.owner)
     world.owner_lives = False
-    owner.presence.on_urgency(lambda: urgent)
+    owner.presence.set_urgency_check(lambda: urgent)
     owner.begin_beats()
     await world.pass_time(WARM_UP)
     await asyncio.sleep(REAL_START)
--- a/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quetzalcourse.coordination.feeds import presence as members
-from quetzalcourse.coordination.feeds.heartbeats import find_longest_silence
+from quetzalcourse.coordination.feeds.heartbeats import find_liveness_timeout
 from quetzalcourse.coordination.feeds.wall_clock import WallClockEstimate
 from quetzalcourse.coordination.feeds.follower import TableFollower
 from quetzalcourse.coordination.feeds.liveness_probes import (
@@ -26,7 +26,7 @@
 NEAR = Member('vm-n', 'vm-n:1', 'hall-n', 'n:1')
 FAR = Member('vm-f', 'vm-f:1', 'hall-f', 'f:1')
 GAP = timedelta(seconds=0.5)
-LONGEST = find_longest_silence(GAP, timedelta(0))
+LONGEST = find_liveness_timeout(GAP, timedelta(0))
 
 
 class World:
@@ -81,7 +81,9 @@
             beat=1,
             gap=GAP.total_seconds(),
         )
-        return Row(members.name_row(member), msgspec.json.encode(record), 1)
+        return Row(
+            members.format_row_key(member), msgspec.json.encode(record), 1
+        )
 
 
 async def test_daemon_whose_row_stands_still_is_live() -> None:
--- a/quetzalcourse/tests/coordination/feeds/reach_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/readiness_tests.py
@@ -8,7 +8,10 @@
 import pytest
 
 from quetzalcourse.coordination.feeds.follower import TableFollower
-from quetzalcourse.coordination.feeds.reach import CUT_AFTER, StoreReach
+from quetzalcourse.coordination.feeds.readiness import (
+    PARTITION_TIMEOUT,
+    StoreReadiness,
+)
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.members import Member
 from quetzalcourse.tests.clocks import FakeClock
@@ -54,7 +57,9 @@
             self.clock,
             Counters(),
         )
-        self.reach = StoreReach(self.follower, FakeMembers(*others), self.clock)
+        self.reach = StoreReadiness(
+            self.follower, FakeMembers(*others), self.clock
+        )
 
     def pass_time(
         self,
@@ -71,10 +76,10 @@
             self.clock.move(QUESTION_GAP)
             for member in answering:
                 self.reach.on_report(member, hears_store=hears_store)
-        return self.reach.welcomes()
+        return self.reach.is_ready()
 
 
-LONG = CUT_AFTER + QUESTION_GAP
+LONG = PARTITION_TIMEOUT + QUESTION_GAP
 
 
 def test_data_centre_that_is_cut_off_sends_callers_elsewhere() -> None:
--- a/quetzalcourse/tests/coordination/feeds/store_relay_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/store_relay_tests.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quetzalcourse.coordination.feeds.store_helpers import StoreHelpers
+from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
 from quetzalcourse.coordination.feeds.store_relay import (
     MAX_HELPERS,
     StoreRelay,
@@ -44,16 +44,16 @@
         for other in OTHERS[:count]:
             self.faulty[other.vm] = True
 
-    def _build(self, member: Any) -> tuple[StoreRelay, StoreHelpers]:
+    def _build(self, member: Any) -> tuple[StoreRelay, RelayPeers]:
         faulty = self.faulty
 
         class Follower(SimpleNamespace):
             @property
-            def faulty(self) -> bool:
+            def store_unavailable(self) -> bool:
                 return faulty[member.vm]
 
         follower: Any = Follower()
-        helpers = StoreHelpers(follower, self.clock)
+        helpers = RelayPeers(follower, self.clock)
         feed: Any = self.feed
         peers: Any = self.network.join(member)
         tables = ('batches',)
--- a/quetzalcourse/tests/coordination/forwarding/residency_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/residency_tests.py
@@ -11,7 +11,7 @@
     Placement,
     PlacementRequest,
 )
-from quetzalcourse.coordination.feeds.store_helpers import StoreHelpers
+from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.forwarding.residency import Residency
 from quetzalcourse.coordination.forwarding.route_table import RouteTable
@@ -100,7 +100,7 @@
 def test_store_is_reached_through_daemons_of_the_own_region() -> None:
     """Guards against bodies that reach the store by way of another region."""
     follower: Any = None
-    helpers = StoreHelpers(follower, FakeClock())
+    helpers = RelayPeers(follower, FakeClock())
     residency = build_residency(['north'])
     helpers.restrict(lambda one: residency.may_relay(NORTH, one))
     helpers.on_report(SOUTH, hears_store=True)
--- a/quetzalcourse/tests/coordination/manifest/keys_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/keys_tests.py
@@ -12,12 +12,12 @@
 from hypothesis.strategies import booleans, integers
 from result import Err, Ok
 
-from quetzalcourse.coordination.manifest.following import StoreFollower
-from quetzalcourse.coordination.manifest.key_spread import KeySpread
-from quetzalcourse.coordination.manifest.key_table import KeyTable
+from quetzalcourse.coordination.manifest.store_poller import StorePoller
+from quetzalcourse.coordination.manifest.key_gossip import KeyGossip
+from quetzalcourse.coordination.manifest.key_change_log import KeyChangeLog
 from quetzalcourse.coordination.manifest.keys import KeyRing, hash_secret
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
-from quetzalcourse.coordination.membership.cuts import News
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
+from quetzalcourse.coordination.membership.partitions import StoreFreshness
 from quetzalcourse.coordination.membership.membership import Digest
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.keys import KeyRecord, bury
@@ -51,17 +51,17 @@
         self.ring = KeyRing()
         self.counters = Counters()
         store = cluster.store
-        self.follower = StoreFollower(
+        self.follower = StorePoller(
             store,
-            ManifestKeeper(store, store),
-            KeyTable(store),
+            ManifestStore(store, store),
+            KeyChangeLog(store),
             self.ring,
             view,
             cluster.clock,
             Random(name),
             timedelta(seconds=1),
         )
-        self.spread = KeySpread(
+        self.spread = KeyGossip(
             self.ring,
             view,
             cluster.network.join(self.own),
@@ -148,7 +148,7 @@
     # after a while is the operators' choice.
     cluster = Cluster(1)
     node = cluster.nodes[0]
-    news = News(node.follower, cluster.clock)
+    news = StoreFreshness(node.follower, cluster.clock)
     limit = timedelta(seconds=longest) if longest else None
     node.ring.is_current = lambda: news.is_current(limit)
     node.ring.merge(GRANT)
@@ -157,19 +157,19 @@
     cluster.clock.move(timedelta(seconds=waited))
     await node.follower.poll()
     assert read_code(node.ring) is code
-    assert node.follower.cut_since is not None
+    assert node.follower.unreachable_since is not None
 
 
 async def test_news_of_others_counts() -> None:
     # Of many daemons each reads the store rarely; the age of the newest word
     # travels with the heartbeats, or idle readers would refuse for nothing.
     cluster = Cluster(1)
-    news = News(cluster.nodes[0].follower, cluster.clock)
-    assert news.tell_age() is None
+    news = StoreFreshness(cluster.nodes[0].follower, cluster.clock)
+    assert news.find_age() is None
     news.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=5)))
     news.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=9)))
     cluster.clock.move(timedelta(seconds=2))
-    assert news.tell_age() == timedelta(seconds=7)
+    assert news.find_age() == timedelta(seconds=7)
 
 
 async def test_withdrawal_spreads_in_a_cut_and_reaches_the_table() -> None:
@@ -177,7 +177,7 @@
     # daemon; the others must know within heartbeats, and the table must
     # have it after the cut, also if that first daemon is gone by then.
     cluster = Cluster(4)
-    table = KeyTable(cluster.store)
+    table = KeyChangeLog(cluster.store)
     (await table.append(GRANT)).unwrap()
     for node in cluster.nodes:
         await node.follower.poll()
@@ -210,14 +210,14 @@
     assert node.follower.list_unstored() == [bury('desk')]
     await node.follower.poll()
     assert node.follower.list_unstored() == []
-    _, records = (await KeyTable(cluster.store).read_after(0)).unwrap()
+    _, records = (await KeyChangeLog(cluster.store).read_after(0)).unwrap()
     assert set(records) == {bury('desk')}
 
 
 async def test_operators_append_at_once() -> None:
     # Two operators change keys at the same moment; neither change is lost.
     store = FakeStore()
-    first, second = KeyTable(store), KeyTable(store)
+    first, second = KeyChangeLog(store), KeyChangeLog(store)
     for number in range(5):
         assert isinstance(await first.append(bury(f'a-{number}')), Ok)
         assert isinstance(await second.append(bury(f'b-{number}')), Ok)
@@ -233,8 +233,8 @@
     one, other = cluster.nodes
     for number in range(2000):
         for node in cluster.nodes:
-            node.ring.merge(bury(f'key-{number}'), tell=False)
-    one.ring.merge(bury('missed'), tell=False)
+            node.ring.merge(bury(f'key-{number}'), notify=False)
+    one.ring.merge(bury('missed'), notify=False)
     cluster.network.sent.clear()
     await cluster.beat()
     assert other.ring.is_withdrawn('missed')
--- a/quetzalcourse/tests/coordination/manifest/manifest_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/manifest_tests.py
@@ -16,12 +16,12 @@
 from hypothesis.strategies import booleans, integers, sampled_from
 from result import Err, Ok
 
-from quetzalcourse.coordination.manifest.manifest import (
+from quetzalcourse.coordination.manifest.manifest_store import (
     MANIFEST_KEY,
     ManifestConflict,
-    ManifestKeeper,
+    ManifestStore,
 )
-from quetzalcourse.coordination.manifest.manifest_spread import ManifestSpread
+from quetzalcourse.coordination.manifest.manifest_gossip import ManifestGossip
 from quetzalcourse.coordination.manifest.sections import (
     NO_HEAD,
     hash_content,
@@ -74,11 +74,11 @@
         """Join the network."""
         self.own = Member('vm', name, 'lac-hall', name)
         members.append(self.own)
-        self.keeper = ManifestKeeper(store, store)
+        self.keeper = ManifestStore(store, store)
         self.seen: list[int] = []
         self.keeper.on_manifest(lambda new: self.seen.append(new.version))
         self.counters = Counters()
-        self.spread = ManifestSpread(
+        self.spread = ManifestGossip(
             self.keeper,
             FakeMembers(self.own, members),
             network.join(self.own),
@@ -147,7 +147,7 @@
     # The table's answer to the swap is lost. The operator is told what truly
     # happened, and asking again ends with the manifest accepted once.
     store = FakeStore()
-    keeper = ManifestKeeper(store, store)
+    keeper = ManifestStore(store, store)
     store.write_faults.append(fault)
     manifest = make_manifest(1.0)
     assert isinstance(await keeper.accept(manifest, 0), kind)
@@ -160,7 +160,7 @@
     # on top of it. Asking again for version 1 must neither undo version 2
     # nor claim that version 1 had lost.
     store = FakeStore()
-    keeper = ManifestKeeper(store, store)
+    keeper = ManifestStore(store, store)
     first, second = make_manifest(1.0), make_manifest(2.0)
     (await keeper.accept(first, 0)).unwrap()
     (await keeper.accept(second, 1)).unwrap()
@@ -173,7 +173,7 @@
     # Two operators replace the same version. One wins; the other is told
     # the version that won, and the winner's content is in force.
     store = FakeStore()
-    keeper = ManifestKeeper(store, store)
+    keeper = ManifestStore(store, store)
     winner, loser = make_manifest(1.0), make_manifest(2.0)
     (await keeper.accept(winner, 0)).unwrap()
     lost = await keeper.accept(loser, 0)
@@ -190,7 +190,7 @@
     # The row that names the version holds bytes that nobody understands. The
     # daemon says so and goes on with what it has.
     store = FakeStore()
-    keeper = ManifestKeeper(store, store)
+    keeper = ManifestStore(store, store)
     (await keeper.accept(make_manifest(1.0), 0)).unwrap()
     await keeper.refresh()
     await store.transact(Transaction((), (Write(MANIFEST_KEY, content),)))
@@ -204,7 +204,7 @@
 async def test_damaged_section_changes_nothing(content: bytes | None) -> None:
     # An object is missing, or is not what its name says.
     store = FakeStore()
-    keeper = ManifestKeeper(store, store)
+    keeper = ManifestStore(store, store)
     (await keeper.accept(make_manifest(1.0), 0)).unwrap()
     name = hash_content(split_sections(make_manifest(1.0))['client_accounts'])
     store.objects.pop(name)
@@ -275,7 +275,7 @@
         super().__init__()
         self.heads: list[tuple] = []
         store = FakeStore()
-        self.keepers = [ManifestKeeper(store, store) for _ in range(3)]
+        self.keepers = [ManifestStore(store, store) for _ in range(3)]
         self.highest = [0, 0, 0]
         self.accepted: dict[int, Manifest] = {}
 
@@ -287,7 +287,7 @@
         sections = split_sections(manifest)
         names = {name: hash_content(body) for name, body in sections.items()}
         head = self.heads[-1][0] if self.heads else NO_HEAD
-        following = head.precede(names)
+        following = head.make_successor(names)
         contents = {names[name]: body for name, body in sections.items()}
         self.heads.append((following, contents))
         self.accepted[version + 1] = replace(manifest, version=version + 1)
@@ -300,13 +300,13 @@
         head, contents = self.heads[which % len(self.heads)]
         if damaged:
             contents = {name: body + b' ' for name, body in contents.items()}
-        self.keepers[who].take(head, contents)
+        self.keepers[who].apply(head, contents)
 
     @rule(who=sampled_from([0, 1, 2]))
     def restart(self, who: int) -> None:
         """A daemon is replaced and begins with nothing."""
         store = FakeStore()
-        self.keepers[who] = ManifestKeeper(store, store)
+        self.keepers[who] = ManifestStore(store, store)
         self.highest[who] = 0
 
     @invariant()
--- a/quetzalcourse/tests/coordination/membership/membership_tests.py
+++ b/quetzalcourse/tests/coordination/membership/membership_tests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quetzalcourse.coordination.membership.membership import Membership
-from quetzalcourse.coordination.membership.roster import Roster
+from quetzalcourse.coordination.membership.member_list import MemberList
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.heartbeats import Standing, describe
 from quetzalcourse.state.members import Member, Topic
@@ -50,8 +50,8 @@
             Random(index),
             self.counters,
         )
-        daemon.on_own(peers.replace_own)
-        daemon.seed(['10.0.0.0:7000'])
+        daemon.on_own_change(peers.replace_own)
+        daemon.replace_seeds(['10.0.0.0:7000'])
         self.daemons.append(daemon)
         return daemon
 
@@ -315,7 +315,7 @@
 ) -> None:
     # Another data centre lost a daemon in a cut and says that it is gone.
     # Believed at once, that would take a well heard daemon off the list.
-    roster = Roster()
+    roster = MemberList()
     member = Member('vm', 'vm-a', 'lac-hall', '10.0.0.1:1', leaving)
     now = timedelta(0)
     roster.merge(describe(member, 1, held), now)
--- a/quetzalcourse/tests/usage_process_tests.py
+++ b/quetzalcourse/tests/usage_process_tests.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from quetzalcourse.commands.usage import explain_report, sum_shares
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
 from quetzalcourse.standins.deployment import (
     MODEL,
     READER_KEY,
@@ -111,7 +111,7 @@
     """Put a manifest in force before any daemon starts."""
     async with aiohttp.ClientSession() as session:
         client = PlatformClient(session, platform.address, 2)
-        keeper = ManifestKeeper(client, client)
+        keeper = ManifestStore(client, client)
         (await keeper.accept(build_manifest([engine], []), 0)).unwrap()
 
 
--- a/quetzalcourse/transport/callers.py
+++ b/quetzalcourse/transport/callers.py
@@ -34,13 +34,13 @@
     )
     from quetzalcourse.coordination.requests.idempotency import Claims
     from quetzalcourse.coordination.manifest.keys import Identity, KeyRing
-    from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+    from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
     from quetzalcourse.coordination.routing.routing import Router
     from quetzalcourse.coordination.service_levels.service_levels import (
         ServiceLevels,
     )
     from quetzalcourse.coordination.requests.services import Services
-    from quetzalcourse.coordination.membership.status import StatusBoard
+    from quetzalcourse.coordination.membership.status import StatusRegistry
     from quetzalcourse.coordination.steps.steps import Steps
     from quetzalcourse.settings.process import ProcessSettings
     from quetzalcourse.state.clock import Clock
@@ -63,7 +63,7 @@
     counters: Counters
     activity: Activity
     keys: KeyRing
-    manifest: ManifestKeeper
+    manifest: ManifestStore
     router: Router
     generation: Generation
     services: Services
@@ -72,7 +72,7 @@
     human_service: HumanService
     claims: Claims
     sessions: KeySessions
-    status: StatusBoard
+    status: StatusRegistry
 
 
 class RequestIds:
--- a/quetzalcourse/transport/health_routes.py
+++ b/quetzalcourse/transport/health_routes.py
@@ -53,6 +53,6 @@
                 'ready': self._parts.activity.ready,
                 'serving': self._parts.activity.serving,
                 'manifest_version': self._parts.manifest.current.version,
-                **self._parts.status.read(),
+                **self._parts.status.collect(),
             }
         )
