--- a/bench/suites/rollouts.py
+++ b/bench/suites/rollouts.py
@@ -35,7 +35,7 @@
 from quetzalcourse.tests.coordination.feeds.readiness_tests import (
     NEIGHBOUR,
     OUTSIDER,
-    ReachWorld,
+    ReadinessWorld,
 )
 from quetzalcourse.tests.coordination.versions.load_plan_tests import (
     build_views,
@@ -195,9 +195,9 @@
 
 def measure_cut() -> Figure:
     """Measure how long a data centre that is cut off takes new callers."""
-    world = ReachWorld(NEIGHBOUR, OUTSIDER)
+    world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     seconds = 0.0
-    while world.reach.is_ready() and seconds < CUT.total_seconds():
+    while world.readiness.is_ready() and seconds < CUT.total_seconds():
         world.pass_time(TICK, NEIGHBOUR)
         seconds = world.follower.time_since_answer.total_seconds()
     return Figure(
--- a/quetzalcourse/coordination/feeds/feed_relay.py
+++ b/quetzalcourse/coordination/feeds/feed_relay.py
@@ -33,7 +33,7 @@
 # With three asked at a time, one that is itself turned away, or was killed,
 # costs no more than the next tick.
 PEERS_PER_REQUEST = 3
-TICK = timedelta(milliseconds=250)
+REQUEST_INTERVAL = timedelta(milliseconds=250)
 log = get_log('relay')
 
 
@@ -76,8 +76,8 @@
     """Asks and answers for the rows of some tables.
 
     :param followers: follow the tables that are asked for.
-    :param reach: learns from every answer who reaches the store.
-    :param helpers: learns it too, and wakes to ask at once.
+    :param readiness: learns from every answer who reaches the store.
+    :param relay_peers: learns it too, and wakes to ask at once.
     """
 
     def __init__(
@@ -85,8 +85,8 @@
         followers: Iterable[TableFollower],
         peers: Peers,
         members: MemberView,
-        reach: StoreReadiness,
-        helpers: RelayPeers,
+        readiness: StoreReadiness,
+        relay_peers: RelayPeers,
         clock: Clock,
         counters: Counters,
     ) -> None:
@@ -94,13 +94,13 @@
         self._followers = {one.table: one for one in followers}
         self._peers = peers
         self._members = members
-        self._reach = reach
-        self._helpers = helpers
+        self._readiness = readiness
+        self._relay_peers = relay_peers
         self._clock = clock
         self._counters = counters
         self._random = random.Random()
         peers.subscribe(Topic.rows_asked, self.on_request)
-        peers.subscribe(Topic.rows_told, self.on_message)
+        peers.subscribe(Topic.rows_told, self.on_update)
 
     async def run(self) -> None:
         """Ask while the store does not answer, until cancelled."""
@@ -108,11 +108,11 @@
             for follower in self._followers.values():
                 if (
                     follower.store_unavailable
-                    or self._helpers.report_request.is_set()
+                    or self._relay_peers.report_request.is_set()
                 ):
-                    self._ask(follower)
-            self._helpers.report_request.clear()
-            await wait_event(self._helpers.report_request, TICK)
+                    self._request_rows(follower)
+            self._relay_peers.report_request.clear()
+            await wait_event(self._relay_peers.report_request, REQUEST_INTERVAL)
 
     def on_request(self, sender: Member, content: bytes) -> None:
         """Answer a daemon with what it does not know.
@@ -137,11 +137,11 @@
             sender, Topic.rows_told, msgspec.msgpack.encode(update)
         )
 
-    def on_message(self, sender: Member, content: bytes) -> None:
+    def on_update(self, sender: Member, content: bytes) -> None:
         """Take rows that another daemon knows."""
         update = msgspec.msgpack.decode(content, type=RowsUpdate)
-        self._reach.on_report(sender, hears_store=update.hears_store)
-        self._helpers.on_report(sender, hears_store=update.hears_store)
+        self._readiness.on_report(sender, hears_store=update.hears_store)
+        self._relay_peers.on_report(sender, hears_store=update.hears_store)
         follower = self._followers.get(update.table)
         if (
             follower is None
@@ -150,7 +150,7 @@
         ):
             return
         present = set(update.keys)
-        gone = [
+        deleted = [
             Row(key, b'', update.newest, removed=True)
             for key in follower.rows
             if key not in present
@@ -164,9 +164,9 @@
             rows=len(rows),
             newest=update.newest,
         )
-        follower.apply_rows([*rows, *gone])
+        follower.apply_rows([*rows, *deleted])
 
-    def _ask(self, follower: TableFollower) -> None:
+    def _request_rows(self, follower: TableFollower) -> None:
         own = self._members.own
         others = [
             member
--- a/quetzalcourse/coordination/feeds/follower.py
+++ b/quetzalcourse/coordination/feeds/follower.py
@@ -17,17 +17,17 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
 
-    Listener = Callable[[list[Row]], None]
+    RowListener = Callable[[list[Row]], None]
 
 # Short enough that a channel which went silent is noticed within the two
 # seconds in which a new manifest has to be in force.
-WAIT = timedelta(seconds=1)
+FOLLOW_WAIT = timedelta(seconds=1)
 # A sound store answers each wait in time; this much later it does not.
-MAX_SILENCE = timedelta(seconds=1.3)
-RETRY = timedelta(milliseconds=150)
+ANSWER_TIMEOUT = timedelta(seconds=1.3)
+RETRY_DELAY = timedelta(milliseconds=150)
 # Three answers in a row that fail; single ones do on any day.
-LASTING_FAULT = timedelta(milliseconds=500)
-UNKNOWN = -1
+PERSISTENT_FAULT_TIME = timedelta(milliseconds=500)
+UNKNOWN_VERSION = -1
 log = get_log('feed')
 
 
@@ -54,7 +54,7 @@
         *,
         single_part: bool = False,
         pause: timedelta = timedelta(0),
-        wait: timedelta = WAIT,
+        wait: timedelta = FOLLOW_WAIT,
     ) -> None:
         """Begin with an empty copy."""
         self.table = table
@@ -66,29 +66,29 @@
         self._counters = counters
         self._single_part = single_part
         self._wait = wait
-        self._version = UNKNOWN
-        self._listeners: list[Listener] = []
+        self._version = UNKNOWN_VERSION
+        self._listeners: list[RowListener] = []
         self._answered_at = clock.elapsed()
-        self._faulty = False
-        self._faulty_since = timedelta(0)
+        self._failing = False
+        self._failing_since = timedelta(0)
         self._recovered_at = timedelta(0)
 
     @property
     def store_unavailable(self) -> bool:
         """Whether the store fails to answer this daemon."""
-        return self._faulty or self.answer_overdue
+        return self._failing or self.answer_overdue
 
     @property
     def answer_overdue(self) -> bool:
         """Whether the store has not answered for longer than it ever waits."""
-        return self.time_since_answer > MAX_SILENCE
+        return self.time_since_answer > ANSWER_TIMEOUT
 
     @property
     def persistently_unavailable(self) -> bool:
         """Whether the store has failed to answer more than once."""
-        refused_for = self._clock.elapsed() - self._faulty_since
+        failing_for = self._clock.elapsed() - self._failing_since
         return self.answer_overdue or (
-            self._faulty and refused_for > LASTING_FAULT
+            self._failing and failing_for > PERSISTENT_FAULT_TIME
         )
 
     @property
@@ -105,24 +105,24 @@
     @property
     def healthy_for(self) -> timedelta:
         """How long the store has answered without a fault."""
-        if self._faulty:
+        if self._failing:
             return timedelta(0)
         return self._clock.elapsed() - self._recovered_at
 
-    def on_rows(self, listener: Listener) -> None:
+    def on_rows(self, listener: RowListener) -> None:
         """Call a listener with the rows that changed, in their order."""
         self._listeners.append(listener)
 
     async def run(self) -> None:
         """Follow the table until the task is cancelled."""
         while True:
-            fault = await self._step()
+            fault = await self._poll()
             if fault is None:
                 self._on_answer()
                 await self._clock.sleep(self.pause)
             else:
                 self._on_fault(fault)
-                await self._clock.sleep(RETRY)
+                await self._clock.sleep(RETRY_DELAY)
 
     def apply_rows(self, rows: list[Row]) -> None:
         """Take rows, also from another daemon, if they are newer."""
@@ -140,14 +140,14 @@
         known = self.rows.get(row.key)
         return known is None or known.version < row.version
 
-    async def _step(self) -> StoreFault | None:
-        if self._version == UNKNOWN:
+    async def _poll(self) -> StoreFault | None:
+        if self._version == UNKNOWN_VERSION:
             return await self._load()
         answer = await self._feed.follow(self.table, self._version, self._wait)
         if isinstance(answer, Err):
             if answer.err_value.history_lost:
                 log.warning('History is lost, read again.', table=self.table)
-                self._version = UNKNOWN
+                self._version = UNKNOWN_VERSION
                 return None
             return answer.err_value
         changes = answer.ok_value
@@ -161,13 +161,13 @@
             return found.err_value
         rows, version = found.ok_value
         present = {row.key for row in rows}
-        gone = [
+        deleted = [
             Row(key, b'', version, removed=True)
             for key in self.rows
             if key not in present
         ]
         self._version = version
-        self.apply_rows([*rows, *gone])
+        self.apply_rows([*rows, *deleted])
         self.loaded = True
         return None
 
@@ -192,16 +192,16 @@
 
     def _on_answer(self) -> None:
         self._answered_at = self._clock.elapsed()
-        if self._faulty:
-            self._faulty = False
+        if self._failing:
+            self._failing = False
             self._recovered_at = self._answered_at
             log.info('Store answers again.', table=self.table)
 
     def _on_fault(self, fault: StoreFault) -> None:
         self._counters.add('store_feed_faults', table=self.table)
-        if not self._faulty:
-            self._faulty = True
-            self._faulty_since = self._clock.elapsed()
+        if not self._failing:
+            self._failing = True
+            self._failing_since = self._clock.elapsed()
             log.warning(
                 'Store does not answer.',
                 table=self.table,
--- a/quetzalcourse/coordination/feeds/heartbeats.py
+++ b/quetzalcourse/coordination/feeds/heartbeats.py
@@ -19,7 +19,7 @@
 # Missed heartbeats, and the time of a slow write, after which a daemon counts
 # as gone.
 MAX_MISSED_HEARTBEATS = 2
-SLOW_WRITE = timedelta(seconds=0.4)
+WRITE_LATENCY_MARGIN = timedelta(seconds=0.4)
 
 
 def choose_heartbeat_interval(daemons: int, *, urgent: bool) -> timedelta:
@@ -35,11 +35,16 @@
     )
 
 
-def find_liveness_timeout(gap: timedelta, read_gap: timedelta) -> timedelta:
+def find_liveness_timeout(
+    interval: timedelta, read_interval: timedelta
+) -> timedelta:
     """Tell after which silence a daemon counts as gone.
 
-    :param gap: how soon it promised its next heartbeat.
-    :param read_gap: time between two reads of its row; a heartbeat may stand in
-        the store for as long without being seen.
+    :param interval: how soon it promised its next heartbeat.
+    :param read_interval: time between two reads of its row; a heartbeat may
+        stand in the store for as long without being seen.
     """
-    return max(gap * MAX_MISSED_HEARTBEATS, gap + read_gap) + SLOW_WRITE
+    return (
+        max(interval * MAX_MISSED_HEARTBEATS, interval + read_interval)
+        + WRITE_LATENCY_MARGIN
+    )
--- a/quetzalcourse/coordination/feeds/liveness_probes.py
+++ b/quetzalcourse/coordination/feeds/liveness_probes.py
@@ -24,14 +24,14 @@
 
 # Several probes fit between an overdue row and the end that it means.
 PROBE_INTERVAL = timedelta(milliseconds=100)
-EMPTY = b''
+EMPTY_MESSAGE = b''
 
 
 class LivenessProbes:
     """Asks the daemons whose rows are overdue, and answers the others.
 
-    :param is_able: whether this daemon reaches the store, directly or by way
-        of another one; a daemon that does not can commit nothing, so it
+    :param can_reach_store: whether this daemon reaches the store, directly or
+        through another one; a daemon that does not can commit nothing, so it
         leaves questions unanswered and its work is taken over.
     """
 
@@ -39,13 +39,13 @@
         self,
         presence: Presence,
         peers: Peers,
-        is_able: Callable[[], bool],
+        can_reach_store: Callable[[], bool],
         clock: Clock,
     ) -> None:
         """Listen to questions and answers."""
         self._presence = presence
         self._peers = peers
-        self._is_able = is_able
+        self._can_reach_store = can_reach_store
         self._clock = clock
         peers.subscribe(Topic.liveness_ping, self.on_ping)
         peers.subscribe(Topic.liveness_pong, self.on_pong)
@@ -59,12 +59,12 @@
     def probe(self) -> None:
         """Ask every daemon whose row is overdue."""
         for member in self._presence.list_overdue():
-            self._peers.send(member, Topic.liveness_ping, EMPTY)
+            self._peers.send(member, Topic.liveness_ping, EMPTY_MESSAGE)
 
     def on_ping(self, sender: Member, _: bytes) -> None:
         """Answer another daemon."""
-        if self._is_able() and not self._presence.own.leaving:
-            self._peers.send(sender, Topic.liveness_pong, EMPTY)
+        if self._can_reach_store() and not self._presence.own.leaving:
+            self._peers.send(sender, Topic.liveness_pong, EMPTY_MESSAGE)
 
     def on_pong(self, sender: Member, _: bytes) -> None:
         """Learn that another daemon lives."""
--- a/quetzalcourse/coordination/feeds/presence.py
+++ b/quetzalcourse/coordination/feeds/presence.py
@@ -12,7 +12,7 @@
 
 from quetzalcourse.coordination.feeds.heartbeats import (
     choose_heartbeat_interval,
-    SLOW_WRITE,
+    WRITE_LATENCY_MARGIN,
     find_liveness_timeout,
 )
 from quetzalcourse.coordination.tasks import wait_event
@@ -35,11 +35,11 @@
 TABLE = 'members'
 # Counts of usage that only this daemon has are lost with it, so they are
 # told soon, yet not with each request.
-CHANGE_DELAY = timedelta(milliseconds=250)
+CHANGE_BATCH_DELAY = timedelta(milliseconds=250)
 # Names in one line of the log; each daemon also tells its own at its start.
-MAX_NAMED = 10
+MAX_LOGGED_NAMES = 10
 # A daemon that has not answered for as long is not asked any more.
-PROBED_FOR = timedelta(seconds=15)
+MAX_PROBE_TIME = timedelta(seconds=15)
 log = get_log('members')
 
 
@@ -75,7 +75,7 @@
 
     :param own: this daemon.
     :param usage: gives the counts that go with each heartbeat.
-    :param inherit: takes the counts of the run before on the same VM.
+    :param restore_usage: takes the counts of the run before on the same VM.
     :param wall_clock: learns how the daemons' calendars differ.
     """
 
@@ -86,7 +86,7 @@
         follower: TableFollower,
         clock: Clock,
         usage: Callable[[], UsageCounts],
-        inherit: Callable[[UsageCounts], None],
+        restore_usage: Callable[[UsageCounts], None],
         wall_clock: WallClockEstimate,
     ) -> None:
         """Begin with nobody known but this daemon."""
@@ -96,21 +96,21 @@
         self._follower = follower
         self._clock = clock
         self._usage = usage
-        self._inherit = inherit
+        self._restore_usage = restore_usage
         self._wall_clock = wall_clock
-        self._inherited = False
+        self._own_row_read = False
         self._row_version: int | None = None
-        self._heard: dict[str, timedelta] = {}
-        self._answered: dict[str, timedelta] = {}
+        self._row_seen_at: dict[str, timedelta] = {}
+        self._pong_at: dict[str, timedelta] = {}
         self._versions: dict[str, int] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._beat = 0
-        self._is_urgent: Callable[[], bool] = _never
-        self._promised = timedelta(0)
+        self._heartbeats_sent = 0
+        self._is_urgent: Callable[[], bool] = _not_urgent
+        self._interval = timedelta(0)
         self._watched: dict[str, timedelta] = {}
-        self._watch_gap = timedelta(0)
-        self._soon = asyncio.Event()
-        self._soon.set()
+        self._watch_interval = timedelta(0)
+        self._write_due = asyncio.Event()
+        self._write_due.set()
         follower.on_rows(self.on_rows)
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -127,7 +127,7 @@
         :param gap: time between two reads of such a row.
         """
         now = self._clock.elapsed()
-        self._watch_gap = gap
+        self._watch_interval = gap
         self._watched = {vm: self._watched.get(vm, now) for vm in vms}
 
     @property
@@ -151,19 +151,19 @@
         """Take rows that changed."""
         changed: list[PresenceRecord] = []
         for row in rows:
-            record = _read(row)
+            record = _decode_record(row)
             if record is None:
                 continue
             known = self.records.get(record.vm)
             self.records[record.vm] = record
-            self._heard[record.vm] = self._clock.elapsed()
+            self._row_seen_at[record.vm] = self._clock.elapsed()
             self._versions[record.vm] = row.version
-            self._take_offset(record)
-            if known is None or _differ(known, record):
+            self._update_offset(record)
+            if known is None or _has_state_changed(known, record):
                 changed.append(record)
         if changed:
             _log_changes(changed)
-            self._tell()
+            self._notify()
 
     def list_live(self, data_centre: str = '') -> list[Member]:
         """List the live daemons, this one included, sorted by incarnation.
@@ -173,7 +173,7 @@
         live = [] if self.own.leaving else [self.own]
         for record in self.records.values():
             other = record.vm != self.own.vm
-            if other and not record.leaving and self._is_heard(record.vm):
+            if other and not record.leaving and self._is_recent(record.vm):
                 live.append(_build_member(record))
         return sorted(
             (
@@ -199,7 +199,7 @@
         """Learn from a daemon itself that it lives."""
         record = self.records.get(sender.vm)
         if record is not None and record.incarnation == sender.incarnation:
-            self._answered[sender.vm] = self._clock.elapsed()
+            self._pong_at[sender.vm] = self._clock.elapsed()
 
     def is_live(self, vm: str, incarnation: str) -> bool:
         """Tell whether one run of a daemon goes on."""
@@ -208,7 +208,7 @@
         record = self.records.get(vm)
         if record is None or record.incarnation != incarnation:
             return False
-        return self._is_heard(vm)
+        return self._is_recent(vm)
 
     def is_replaced(self, vm: str, incarnation: str, version: int) -> bool:
         """Tell whether a later run on the same VM has taken a run's place.
@@ -228,30 +228,30 @@
 
     def announce(self) -> None:
         """Tell of a change soon, without waiting for the next heartbeat."""
-        self._soon.set()
+        self._write_due.set()
 
     async def leave(self) -> None:
         """Tell that this daemon takes nothing over any more."""
         self.own = replace(self.own, leaving=True)
         await self._write()
-        self._tell()
+        self._notify()
 
     async def run(self) -> None:
         """Write heartbeats until the task is cancelled."""
         while True:
-            await wait_event(self._soon, self._promised)
-            await self._clock.sleep(CHANGE_DELAY)
+            await wait_event(self._write_due, self._interval)
+            await self._clock.sleep(CHANGE_BATCH_DELAY)
             await self._write()
 
     async def _write(self) -> None:
         if self._row_version is None and not await self._read_own():
-            self._soon.set()
+            self._write_due.set()
             return
-        self._beat += 1
-        self._soon.clear()
+        self._heartbeats_sent += 1
+        self._write_due.clear()
         # A heartbeat that leaves urgent work behind still keeps the promise of
         # the one before it.
-        self._promised = choose_heartbeat_interval(
+        self._interval = choose_heartbeat_interval(
             len(self.records), urgent=self._is_urgent()
         )
         record = PresenceRecord(
@@ -260,11 +260,11 @@
             self.own.data_centre,
             self.own.address,
             self.own.leaving,
-            self._beat,
+            self._heartbeats_sent,
             self._usage(),
             self._find_offset(),
             self.own.cores,
-            self._promised.total_seconds(),
+            self._interval.total_seconds(),
         )
         # The condition keeps out heartbeats of the run before whose answers
         # were lost: applied late, they would show that run as the living one.
@@ -277,7 +277,7 @@
         )
         self._row_version = None
         if isinstance(answer, Err) or not answer.ok_value.applied:
-            self._soon.set()
+            self._write_due.set()
         elif answer.ok_value.version:
             self._row_version = answer.ok_value.version
 
@@ -291,51 +291,55 @@
             return False
         row = answer.ok_value
         self._row_version = row.version if row is not None else ABSENT
-        record = _read(row) if row is not None else None
-        if record is not None and not self._inherited:
+        record = _decode_record(row) if row is not None else None
+        if record is not None and not self._own_row_read:
             if record.incarnation != self.own.incarnation:
-                self._inherit(record.usage)
-        self._inherited = True
+                self._restore_usage(record.usage)
+        self._own_row_read = True
         return True
 
     def _find_offset(self) -> float | None:
         offset = self._wall_clock.find_offset()
         return None if offset is None else round(offset.total_seconds(), 3)
 
-    def _take_offset(self, record: PresenceRecord) -> None:
+    def _update_offset(self, record: PresenceRecord) -> None:
         if record.calendar_offset is not None:
             offset = timedelta(seconds=record.calendar_offset)
             self._wall_clock.on_offset(record.vm, offset)
 
-    def _is_heard(self, vm: str) -> bool:
+    def _is_recent(self, vm: str) -> bool:
         # While the store is away nobody is heard, which says nothing of
         # the others; they have their time again once it is back.
-        heard, longest = self._find_silence(vm)
-        silent = self._clock.elapsed() - heard
-        return silent < longest or self._follower.healthy_for < longest
+        last_seen, timeout = self._find_last_seen(vm)
+        age = self._clock.elapsed() - last_seen
+        return age < timeout or self._follower.healthy_for < timeout
 
     def _is_overdue(self, vm: str, now: timedelta) -> bool:
-        heard, longest = self._find_silence(vm)
-        return longest - SLOW_WRITE <= now - heard < PROBED_FOR
+        last_seen, timeout = self._find_last_seen(vm)
+        return (
+            timeout - WRITE_LATENCY_MARGIN <= now - last_seen < MAX_PROBE_TIME
+        )
 
-    def _find_silence(self, vm: str) -> tuple[timedelta, timedelta]:
+    def _find_last_seen(self, vm: str) -> tuple[timedelta, timedelta]:
         """Find when a daemon was heard, and which silence is its end."""
-        answered = self._answered.get(vm, timedelta(0))
-        heard = max(self._heard.get(vm, timedelta(0)), answered)
-        read_gap = self._follower.pause
+        pong_at = self._pong_at.get(vm, timedelta(0))
+        last_seen = max(self._row_seen_at.get(vm, timedelta(0)), pong_at)
+        read_interval = self._follower.pause
         watched_since = self._watched.get(vm)
         if watched_since is not None:
-            heard = max(heard, watched_since)
-            read_gap = self._watch_gap
-        return heard, find_liveness_timeout(self._find_gap(vm), read_gap)
+            last_seen = max(last_seen, watched_since)
+            read_interval = self._watch_interval
+        return last_seen, find_liveness_timeout(
+            self._find_interval(vm), read_interval
+        )
 
-    def _find_gap(self, vm: str) -> timedelta:
+    def _find_interval(self, vm: str) -> timedelta:
         record = self.records.get(vm)
         if record is None or not record.gap:
             return choose_heartbeat_interval(len(self.records), urgent=False)
         return timedelta(seconds=record.gap)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -345,17 +349,17 @@
     log.info(
         'Daemons are seen.',
         count=len(changed),
-        incarnations=[one.incarnation for one in changed[:MAX_NAMED]],
-        leaving=[one.vm for one in changed if one.leaving][:MAX_NAMED],
+        incarnations=[one.incarnation for one in changed[:MAX_LOGGED_NAMES]],
+        leaving=[one.vm for one in changed if one.leaving][:MAX_LOGGED_NAMES],
     )
 
 
-def _never() -> bool:
+def _not_urgent() -> bool:
     """Tell that nothing stands still without this daemon."""
     return False
 
 
-def _read(row: Row) -> PresenceRecord | None:
+def _decode_record(row: Row) -> PresenceRecord | None:
     if row.removed:
         return None
     try:
@@ -365,7 +369,7 @@
         return None
 
 
-def _differ(known: PresenceRecord, record: PresenceRecord) -> bool:
+def _has_state_changed(known: PresenceRecord, record: PresenceRecord) -> bool:
     before = (known.incarnation, known.leaving)
     return before != (record.incarnation, record.leaving)
 
--- a/quetzalcourse/coordination/feeds/readiness.py
+++ b/quetzalcourse/coordination/feeds/readiness.py
@@ -45,9 +45,9 @@
         self._follower = follower
         self._members = members
         self._clock = clock
-        self._hearing_at = LONG_AGO
-        self._outside_at = LONG_AGO
-        self._welcoming = True
+        self._store_reported_at = LONG_AGO
+        self._remote_reported_at = LONG_AGO
+        self._ready = True
 
     def on_report(self, sender: Member, *, hears_store: bool) -> None:
         """Take the report of another daemon.
@@ -56,9 +56,9 @@
         """
         now = self._clock.elapsed()
         if hears_store:
-            self._hearing_at = now
+            self._store_reported_at = now
         if sender.data_centre != self._members.own.data_centre:
-            self._outside_at = now
+            self._remote_reported_at = now
 
     def is_ready(self) -> bool:
         """Tell whether new callers are served here as well as elsewhere.
@@ -67,33 +67,33 @@
         so this one goes on.
         """
         reason = self._find_reason()
-        if self._welcoming and reason:
+        if self._ready and reason:
             log.warning(
                 'Callers are sent elsewhere.',
                 reason=reason,
                 silent_seconds=self._follower.time_since_answer.total_seconds(),
             )
-        elif reason == '' and not self._welcoming:
+        elif reason == '' and not self._ready:
             log.info('Callers are welcome again.')
-        self._welcoming = reason == ''
-        return self._welcoming
+        self._ready = reason == ''
+        return self._ready
 
     def _find_reason(self) -> str:
         if not self._follower.persistently_unavailable:
             return ''
         now = self._clock.elapsed()
-        if now - self._hearing_at < REACHABILITY_TTL:
+        if now - self._store_reported_at < REACHABILITY_TTL:
             return 'others reach the store'
-        alone = now - self._outside_at >= REACHABILITY_TTL
+        isolated = now - self._remote_reported_at >= REACHABILITY_TTL
         if (
             self._follower.time_since_answer > PARTITION_TIMEOUT
-            and alone
-            and self._has_outside()
+            and isolated
+            and self._has_remote_members()
         ):
             return 'data centre is cut off'
         return ''
 
-    def _has_outside(self) -> bool:
+    def _has_remote_members(self) -> bool:
         own = self._members.own.data_centre
         return any(
             member.data_centre != own for member in self._members.list_live()
--- a/quetzalcourse/coordination/feeds/relay_peers.py
+++ b/quetzalcourse/coordination/feeds/relay_peers.py
@@ -25,9 +25,9 @@
 # Age until which another daemon's report counts.
 REACHABILITY_TTL = timedelta(seconds=1)
 # Time that a call waits for the first report of another daemon.
-REPORT_WAIT = timedelta(milliseconds=50)
+REPORT_TIMEOUT = timedelta(milliseconds=50)
 # Calls within this time share one question to the other daemons.
-ASK_INTERVAL = timedelta(milliseconds=100)
+REQUEST_INTERVAL = timedelta(milliseconds=100)
 LONG_AGO = timedelta(days=-1)
 
 
@@ -43,14 +43,14 @@
         self._follower = follower
         self._clock = clock
         self._reports: dict[str, tuple[Member, timedelta]] = {}
-        self._reported = asyncio.Event()
-        self._asked_at = LONG_AGO
+        self._report_received = asyncio.Event()
+        self._requested_at = LONG_AGO
         self._random = random.Random()
-        self._may_help: Callable[[Member], bool] = _anyone
+        self._may_relay: Callable[[Member], bool] = _allow_all
 
-    def restrict(self, may_help: Callable[[Member], bool]) -> None:
+    def restrict(self, may_relay: Callable[[Member], bool]) -> None:
         """Ask only some daemons for help from now on."""
-        self._may_help = may_help
+        self._may_relay = may_relay
 
     @property
     def needed(self) -> bool:
@@ -66,19 +66,19 @@
             self._reports.pop(sender.vm, None)
             return
         self._reports[sender.vm] = (sender, self._clock.elapsed())
-        self._reported.set()
+        self._report_received.set()
 
-    def on_failure(self, helper: Member) -> None:
+    def on_failure(self, peer: Member) -> None:
         """Learn that a daemon did not answer, or can't help any more."""
-        self._reports.pop(helper.vm, None)
+        self._reports.pop(peer.vm, None)
 
     def find(self) -> Member | None:
         """Find a daemon that the store answers, at random among them."""
         oldest = self._clock.elapsed() - REACHABILITY_TTL
         fresh = [
             member
-            for member, said in self._reports.values()
-            if said >= oldest and self._may_help(member)
+            for member, reported_at in self._reports.values()
+            if reported_at >= oldest and self._may_relay(member)
         ]
         return self._random.choice(fresh) if fresh else None
 
@@ -88,14 +88,14 @@
         if found is not None:
             return found
         now = self._clock.elapsed()
-        if now - self._asked_at >= ASK_INTERVAL:
-            self._asked_at = now
-            self._reported.clear()
+        if now - self._requested_at >= REQUEST_INTERVAL:
+            self._requested_at = now
+            self._report_received.clear()
             self.report_request.set()
-        await wait_event(self._reported, REPORT_WAIT)
+        await wait_event(self._report_received, REPORT_TIMEOUT)
         return self.find()
 
 
-def _anyone(_: Member) -> bool:
+def _allow_all(_: Member) -> bool:
     """Let every daemon help."""
     return True
--- a/quetzalcourse/coordination/feeds/store_calls.py
+++ b/quetzalcourse/coordination/feeds/store_calls.py
@@ -138,14 +138,14 @@
     version: int = 0
     applied: bool = False
 
-    def read_rows(self) -> list[Row]:
+    def decode_rows(self) -> list[Row]:
         """Read the rows."""
         return [
             Row(row.key, row.content, row.version, row.removed)
             for row in self.rows
         ]
 
-    def read_fault(self) -> StoreFault:
+    def decode_fault(self) -> StoreFault:
         """Read the failure."""
         return StoreFault(
             FaultKind(self.fault), self.step, self.peer, self.history_lost
@@ -156,7 +156,7 @@
     return key.partition('/')[0]
 
 
-def pack_transaction(transaction: Transaction) -> TransactCall:
+def encode_transaction(transaction: Transaction) -> TransactCall:
     """Write a transaction as a call."""
     return TransactCall(
         [(one.key, one.version) for one in transaction.conditions],
@@ -164,7 +164,7 @@
     )
 
 
-def read_transaction(call: TransactCall) -> Transaction:
+def decode_transaction(call: TransactCall) -> Transaction:
     """Read a transaction from a call."""
     return Transaction(
         tuple(Condition(key, version) for key, version in call.conditions),
@@ -172,7 +172,7 @@
     )
 
 
-def tell_rows(rows: list[Row] | tuple[Row, ...]) -> list[RowUpdate]:
+def encode_rows(rows: list[Row] | tuple[Row, ...]) -> list[RowUpdate]:
     """Write rows for another daemon."""
     return [
         RowUpdate(row.key, row.content, row.version, row.removed)
@@ -180,7 +180,7 @@
     ]
 
 
-def tell_fault(number: int, fault: StoreFault) -> StoreReply:
+def encode_fault(number: int, fault: StoreFault) -> StoreReply:
     """Write a failure for another daemon."""
     return StoreReply(
         number,
@@ -191,21 +191,21 @@
     )
 
 
-def read_commit(reply: StoreReply) -> Commit:
+def decode_commit(reply: StoreReply) -> Commit:
     """Read what became of a transaction."""
-    return Commit(reply.applied, tuple(reply.read_rows()), reply.version)
+    return Commit(reply.applied, tuple(reply.decode_rows()), reply.version)
 
 
-def read_changes(reply: StoreReply) -> Changes:
+def decode_changes(reply: StoreReply) -> Changes:
     """Read changes of a table."""
-    return Changes(tuple(reply.read_rows()), reply.version)
+    return Changes(tuple(reply.decode_rows()), reply.version)
 
 
-def read_row(reply: StoreReply) -> Row | None:
+def decode_row(reply: StoreReply) -> Row | None:
     """Read the one row, ``None`` if there is none."""
-    return next(iter(reply.read_rows()), None)
+    return next(iter(reply.decode_rows()), None)
 
 
-def read_answer(reply: StoreReply) -> Result[StoreReply, StoreFault]:
+def to_result(reply: StoreReply) -> Result[StoreReply, StoreFault]:
     """Tell an answer from a failure."""
-    return Err(reply.read_fault()) if reply.fault else Ok(reply)
+    return Err(reply.decode_fault()) if reply.fault else Ok(reply)
--- a/quetzalcourse/coordination/feeds/store_relay.py
+++ b/quetzalcourse/coordination/feeds/store_relay.py
@@ -32,22 +32,22 @@
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.rows import Changes, Commit, Row, Transaction
 
-    Answered = Result[calls.StoreReply, StoreFault]
+    ReplyResult = Result[calls.StoreReply, StoreFault]
 
-Found = TypeVar('Found')
+Value = TypeVar('Value')
 
 # A store that is slow takes some 300 ms; a daemon that has not answered by
 # then is gone or turned away itself, and the next call goes to another.
-ANSWER_TIME = timedelta(milliseconds=800)
+RELAY_TIMEOUT = timedelta(milliseconds=800)
 # Calls that one daemon makes for others at a time. A third of the daemons
 # turned away, with three tables followed and a few writes each, are some
 # ten calls for each of the rest.
-MAX_HELPED = 64
+MAX_RELAYED_CALLS = 64
 # Daemons that are asked to make a call, one after another: in the moment in
 # which the store turns a third of them away, the word of each is a second
 # old, and one in three can't help any more.
-MAX_HELPERS = 3
-NOT_HELPED = 'not helped'
+MAX_RELAY_ATTEMPTS = 3
+NOT_RELAYED = 'not helped'
 log = get_log('relay')
 
 
@@ -62,7 +62,7 @@
         table: Table,
         feed: ChangeFeed,
         peers: Peers,
-        helpers: RelayPeers,
+        relay_peers: RelayPeers,
         tables: Collection[str],
         counters: Counters,
     ) -> None:
@@ -70,22 +70,22 @@
         self._table = table
         self._feed = feed
         self._peers = peers
-        self._helpers = helpers
+        self._relay_peers = relay_peers
         self._tables = frozenset(tables)
         self._counters = counters
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[calls.StoreReply]] = {}
-        self._helped = 0
+        self._pending: dict[int, asyncio.Future[calls.StoreReply]] = {}
+        self._active_calls = 0
         self._tasks = BackgroundTasks('store relay')
         peers.subscribe(Topic.store_asked, self.on_request)
-        peers.subscribe(Topic.store_told, self.on_message)
+        peers.subscribe(Topic.store_told, self.on_reply)
 
     async def read(self, key: str) -> Result[Row | None, StoreFault]:
         """Read one row."""
         return await self._call(
             lambda: self._table.read(key),
             calls.ReadCall(key),
-            calls.read_row,
+            calls.decode_row,
         )
 
     async def scan(
@@ -98,7 +98,7 @@
         return await self._call(
             lambda: self._table.scan(prefix, after, limit),
             calls.ScanCall(prefix, after, limit),
-            calls.StoreReply.read_rows,
+            calls.StoreReply.decode_rows,
         )
 
     async def transact(
@@ -108,8 +108,8 @@
         """Write rows together if every condition holds."""
         return await self._call(
             lambda: self._table.transact(transaction),
-            calls.pack_transaction(transaction),
-            calls.read_commit,
+            calls.encode_transaction(transaction),
+            calls.decode_commit,
         )
 
     async def read_part(
@@ -121,7 +121,7 @@
         return await self._call(
             lambda: self._feed.read_part(table, part),
             calls.ReadPartCall(table, part),
-            calls.read_changes,
+            calls.decode_changes,
         )
 
     async def list_parts(self, table: str) -> Result[list[str], StoreFault]:
@@ -143,79 +143,82 @@
         return await self._call(
             lambda: self._feed.follow(table, version, wait),
             call,
-            calls.read_changes,
+            calls.decode_changes,
             wait,
         )
 
     def on_request(self, sender: Member, content: bytes) -> None:
         """Make a call for another daemon."""
         request = msgspec.msgpack.decode(content, type=calls.StoreRequest)
-        able = self._helped < MAX_HELPED and not self._helpers.needed
-        if able and request.call.tables <= self._tables:
-            self._tasks.start(self._help(sender, request))
+        accepting = (
+            self._active_calls < MAX_RELAYED_CALLS
+            and not self._relay_peers.needed
+        )
+        if accepting and request.call.tables <= self._tables:
+            self._tasks.start(self._relay(sender, request))
             return
-        fault = StoreFault(FaultKind.not_applied, NOT_HELPED, '')
-        self._tell(sender, calls.tell_fault(request.number, fault))
+        fault = StoreFault(FaultKind.not_applied, NOT_RELAYED, '')
+        self._send_reply(sender, calls.encode_fault(request.number, fault))
 
-    def on_message(self, sender: Member, content: bytes) -> None:
+    def on_reply(self, sender: Member, content: bytes) -> None:
         """Take the answer to a call."""
         reply = msgspec.msgpack.decode(content, type=calls.StoreReply)
-        waiting = self._waiting.get(reply.number)
+        waiting = self._pending.get(reply.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(reply)
 
     async def _call(
         self,
-        direct: Callable[[], Awaitable[Result[Found, StoreFault]]],
+        direct: Callable[[], Awaitable[Result[Value, StoreFault]]],
         call: calls.StoreCall,
-        read: Callable[[calls.StoreReply], Found],
+        decode: Callable[[calls.StoreReply], Value],
         wait: timedelta = timedelta(0),
-    ) -> Result[Found, StoreFault]:
+    ) -> Result[Value, StoreFault]:
         """Make a call directly, or by way of another daemon.
 
         :param wait: how long the store itself may take to answer.
         """
         answer = None
-        if not self._helpers.needed:
+        if not self._relay_peers.needed:
             answer = await direct()
-            if not _asks_for_help(answer):
+            if not _may_retry_through_peer(answer):
                 return answer
-        for _ in range(MAX_HELPERS):
-            helper = await self._helpers.find_or_wait()
-            if helper is None:
+        for _ in range(MAX_RELAY_ATTEMPTS):
+            peer = await self._relay_peers.find_or_wait()
+            if peer is None:
                 break
-            reply = await self._ask(helper, call, wait + ANSWER_TIME)
-            answer = reply.map(read)
-            if not _is_turned_down(reply):
+            reply = await self._send_call(peer, call, wait + RELAY_TIMEOUT)
+            answer = reply.map(decode)
+            if not _is_declined(reply):
                 return answer
-            self._helpers.on_failure(helper)
+            self._relay_peers.on_failure(peer)
         return answer if answer is not None else await direct()
 
-    async def _ask(
+    async def _send_call(
         self,
-        helper: Member,
+        peer: Member,
         call: calls.StoreCall,
         timeout: timedelta,
-    ) -> Answered:
+    ) -> ReplyResult:
         number = next(self._numbers)
         waiting = asyncio.get_running_loop().create_future()
-        self._waiting[number] = waiting
+        self._pending[number] = waiting
         request = calls.StoreRequest(number, call)
         self._peers.send(
-            helper, Topic.store_asked, msgspec.msgpack.encode(request)
+            peer, Topic.store_asked, msgspec.msgpack.encode(request)
         )
         try:
             async with asyncio.timeout(timeout.total_seconds()):
                 reply = await waiting
         except TimeoutError:
-            self._helpers.on_failure(helper)
-            answer: Answered = Err(
-                StoreFault(FaultKind.unanswered, 'relay', helper.address)
+            self._relay_peers.on_failure(peer)
+            answer: ReplyResult = Err(
+                StoreFault(FaultKind.unanswered, 'relay', peer.address)
             )
         else:
-            answer = calls.read_answer(reply)
+            answer = calls.to_result(reply)
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
         kind = type(call).__name__
         outcome = answer.err_value.kind if isinstance(answer, Err) else 'ok'
         self._counters.add(
@@ -225,59 +228,59 @@
             log.info(
                 'Call by way of another daemon failed.',
                 call=kind,
-                peer=helper.address,
+                peer=peer.address,
                 reason=answer.err_value.step,
             )
         return answer
 
-    async def _help(self, sender: Member, request: calls.StoreRequest) -> None:
-        self._helped += 1
+    async def _relay(self, sender: Member, request: calls.StoreRequest) -> None:
+        self._active_calls += 1
         try:
-            reply = await self._make(request.number, request.call)
+            reply = await self._execute(request.number, request.call)
         finally:
-            self._helped -= 1
-        self._tell(sender, reply)
+            self._active_calls -= 1
+        self._send_reply(sender, reply)
 
-    async def _make(
+    async def _execute(
         self,
         number: int,
         call: calls.StoreCall,
     ) -> calls.StoreReply:
         if isinstance(call, calls.TransactCall):
-            answer = await self._table.transact(calls.read_transaction(call))
-            return _tell(
+            answer = await self._table.transact(calls.decode_transaction(call))
+            return _build_reply(
                 number,
                 answer,
                 lambda commit: calls.StoreReply(
                     number,
-                    rows=calls.tell_rows(commit.conflicts),
+                    rows=calls.encode_rows(commit.conflicts),
                     version=commit.version,
                     applied=commit.applied,
                 ),
             )
         if isinstance(call, calls.ListPartsCall):
-            return _tell(
+            return _build_reply(
                 number,
                 await self._feed.list_parts(call.table),
                 lambda parts: calls.StoreReply(number, parts=parts),
             )
         if isinstance(call, (calls.FollowCall, calls.ReadPartCall)):
-            return _tell(
+            return _build_reply(
                 number,
-                await self._make_feed_call(call),
+                await self._execute_feed_call(call),
                 lambda changes: calls.StoreReply(
                     number,
-                    rows=calls.tell_rows(changes.rows),
+                    rows=calls.encode_rows(changes.rows),
                     version=changes.version,
                 ),
             )
-        return _tell(
+        return _build_reply(
             number,
-            await self._make_read(call),
-            lambda rows: calls.StoreReply(number, rows=calls.tell_rows(rows)),
+            await self._execute_read(call),
+            lambda rows: calls.StoreReply(number, rows=calls.encode_rows(rows)),
         )
 
-    async def _make_feed_call(
+    async def _execute_feed_call(
         self,
         call: calls.FollowCall | calls.ReadPartCall,
     ) -> Result[Changes, StoreFault]:
@@ -286,7 +289,7 @@
         wait = call.wait_ms * calls.MILLISECOND
         return await self._feed.follow(call.table, call.version, wait)
 
-    async def _make_read(
+    async def _execute_read(
         self,
         call: calls.ReadCall | calls.ScanCall,
     ) -> Result[list[Row], StoreFault]:
@@ -295,13 +298,13 @@
         answer = await self._table.read(call.key)
         return answer.map(lambda row: [] if row is None else [row])
 
-    def _tell(self, receiver: Member, reply: calls.StoreReply) -> None:
+    def _send_reply(self, receiver: Member, reply: calls.StoreReply) -> None:
         self._peers.send(
             receiver, Topic.store_told, msgspec.msgpack.encode(reply)
         )
 
 
-def _asks_for_help(answer: Result[Found, StoreFault]) -> bool:
+def _may_retry_through_peer(answer: Result[Value, StoreFault]) -> bool:
     """Tell whether a call may be made again by way of another daemon.
 
     A write without an answer may have taken effect. Its caller has to know,
@@ -313,16 +316,16 @@
     return fault.kind is FaultKind.not_applied and not fault.history_lost
 
 
-def _is_turned_down(answer: Answered) -> bool:
+def _is_declined(answer: ReplyResult) -> bool:
     """Tell whether a daemon made no call, so that another may be asked."""
-    return isinstance(answer, Err) and answer.err_value.step == NOT_HELPED
+    return isinstance(answer, Err) and answer.err_value.step == NOT_RELAYED
 
 
-def _tell(
+def _build_reply(
     number: int,
-    answer: Result[Found, StoreFault],
-    write: Callable[[Found], calls.StoreReply],
+    answer: Result[Value, StoreFault],
+    encode: Callable[[Value], calls.StoreReply],
 ) -> calls.StoreReply:
     if isinstance(answer, Err):
-        return calls.tell_fault(number, answer.err_value)
-    return write(answer.ok_value)
+        return calls.encode_fault(number, answer.err_value)
+    return encode(answer.ok_value)
--- a/quetzalcourse/coordination/feeds/wall_clock.py
+++ b/quetzalcourse/coordination/feeds/wall_clock.py
@@ -31,8 +31,8 @@
         self._clock = clock
         self._store_clock = store_clock
         self._offsets: dict[str, timedelta] = {}
-        self._chosen: timedelta | None = None
-        self._outdated = False
+        self._median: timedelta | None = None
+        self._stale = False
 
     def elapsed(self) -> timedelta:
         """Tell the steady time of this machine."""
@@ -41,10 +41,10 @@
     def now(self) -> datetime:
         """Tell the wall clock time in UTC that most daemons agree on."""
         store_now = self._store_clock.estimate()
-        chosen = self._choose()
-        if store_now is None or chosen is None:
+        median = self._find_median_offset()
+        if store_now is None or median is None:
             return self._clock.now()
-        return EPOCH + store_now + chosen
+        return EPOCH + store_now + median
 
     async def sleep(self, duration: timedelta) -> None:
         """Pause the calling task."""
@@ -69,12 +69,12 @@
         if self._offsets.get(vm) == offset:
             return
         self._offsets[vm] = offset
-        self._outdated = True
+        self._stale = True
 
-    def _choose(self) -> timedelta | None:
+    def _find_median_offset(self) -> timedelta | None:
         # Offsets of hundreds of daemons come with every answer of the store,
         # far more often than anybody asks for the time.
-        if self._outdated:
-            self._chosen = median_low(self._offsets.values())
-            self._outdated = False
-        return self._chosen
+        if self._stale:
+            self._median = median_low(self._offsets.values())
+            self._stale = False
+        return self._median
--- a/quetzalcourse/coordination/manifest/gossip_peers.py
+++ b/quetzalcourse/coordination/manifest/gossip_peers.py
@@ -10,8 +10,8 @@
     from quetzalcourse.coordination.ports import MemberView
     from quetzalcourse.state.members import Member
 
-NEAR = 3
-FAR = 1
+LOCAL_PEERS = 3
+REMOTE_PEERS = 1
 
 
 def choose_gossip_peers(members: MemberView, random: Random) -> list[Member]:
@@ -19,11 +19,11 @@
 
     :returns: a few daemons of the own data centre and one elsewhere.
     """
-    centre = members.own.data_centre
+    data_centre = members.own.data_centre
     others = [member for member in members.list_live() if member != members.own]
-    near = [member for member in others if member.data_centre == centre]
-    far = [member for member in others if member.data_centre != centre]
+    local = [member for member in others if member.data_centre == data_centre]
+    remote = [member for member in others if member.data_centre != data_centre]
     return [
-        *random.sample(near, min(NEAR, len(near))),
-        *random.sample(far, min(FAR, len(far))),
+        *random.sample(local, min(LOCAL_PEERS, len(local))),
+        *random.sample(remote, min(REMOTE_PEERS, len(remote))),
     ]
--- a/quetzalcourse/coordination/manifest/key_change_log.py
+++ b/quetzalcourse/coordination/manifest/key_change_log.py
@@ -23,16 +23,16 @@
 
 KEYS_HEAD_KEY = 'heads/keys'
 LOG_PREFIX = 'keys/log/'
-PAGE = 1000
-TRIES = 8
+PAGE_SIZE = 1000
+MAX_ATTEMPTS = 8
 
 
-def name_entry(sequence: int) -> str:
+def format_entry_key(sequence: int) -> str:
     """Name the row of a change, so that rows sort by their sequence."""
     return f'{LOG_PREFIX}{sequence:012d}'
 
 
-def read_sequence(row: Row | None) -> int:
+def decode_sequence(row: Row | None) -> int:
     """Tell how many changes the table has; damaged bytes count as none."""
     if row is None:
         return 0
@@ -59,24 +59,25 @@
 
         :returns: sequence of the change.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             read = await self._table.read(KEYS_HEAD_KEY)
             if isinstance(read, Err):
                 return read
             row = read.ok_value
-            sequence = read_sequence(row) + 1
+            sequence = decode_sequence(row) + 1
             written = await self._table.transact(
                 Transaction(
                     (
                         Condition(
                             KEYS_HEAD_KEY, row.version if row else ABSENT
                         ),
-                        Condition(name_entry(sequence), ABSENT),
+                        Condition(format_entry_key(sequence), ABSENT),
                     ),
                     (
                         Write(KEYS_HEAD_KEY, msgspec.json.encode(sequence)),
                         Write(
-                            name_entry(sequence), msgspec.json.encode(record)
+                            format_entry_key(sequence),
+                            msgspec.json.encode(record),
                         ),
                     ),
                 )
@@ -99,14 +100,14 @@
         """
         records: list[KeyRecord] = []
         while True:
-            after = name_entry(sequence)
-            read = await self._table.scan(LOG_PREFIX, after, PAGE)
+            after = format_entry_key(sequence)
+            read = await self._table.scan(LOG_PREFIX, after, PAGE_SIZE)
             if isinstance(read, Err):
                 return read
             for row in read.ok_value:
                 sequence = int(row.key[len(LOG_PREFIX) :])
                 records.extend(_decode(row.content))
-            if len(read.ok_value) < PAGE:
+            if len(read.ok_value) < PAGE_SIZE:
                 return Ok((sequence, records))
 
 
--- a/quetzalcourse/coordination/manifest/key_gossip.py
+++ b/quetzalcourse/coordination/manifest/key_gossip.py
@@ -21,7 +21,7 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.keys import KeyRecord
 
-ASK_AGAIN = timedelta(seconds=1)
+REQUEST_INTERVAL = timedelta(seconds=1)
 RECORDS_PER_MESSAGE = 200
 
 
@@ -47,21 +47,21 @@
         self._clock = clock
         self._random = random
         self._counters = counters
-        self._asked = clock.elapsed() - ASK_AGAIN
+        self._requested_at = clock.elapsed() - REQUEST_INTERVAL
         peers.subscribe(Topic.keys, self._receive)
-        ring.on_record(self._pass_on)
+        ring.on_record(self._broadcast)
 
     def on_digest(self, sender: Member, digest: Digest) -> None:
         """Ask a daemon that knows other records for the difference."""
         now = self._clock.elapsed()
         if digest.keys == self._ring.hash_records():
             return
-        if now - self._asked >= ASK_AGAIN:
-            self._asked = now
+        if now - self._requested_at >= REQUEST_INTERVAL:
+            self._requested_at = now
             news = KeyNews(SpreadKind.ask, buckets=self._ring.buckets)
             self._send(sender, news)
 
-    def _pass_on(self, record: KeyRecord) -> None:
+    def _broadcast(self, record: KeyRecord) -> None:
         news = KeyNews(SpreadKind.contents, records=[record])
         for member in choose_gossip_peers(self._members, self._random):
             self._send(member, news)
@@ -78,9 +78,9 @@
         for record in news.records:
             self._ring.merge(record, notify=fresh)
         if news.kind is SpreadKind.ask:
-            self._answer(sender, news.buckets)
+            self._send_difference(sender, news.buckets)
 
-    def _answer(self, receiver: Member, buckets: list[int]) -> None:
+    def _send_difference(self, receiver: Member, buckets: list[int]) -> None:
         if len(buckets) != len(self._ring.buckets):
             return
         different = self._ring.list_different(buckets)
--- a/quetzalcourse/coordination/manifest/keys.py
+++ b/quetzalcourse/coordination/manifest/keys.py
@@ -21,7 +21,7 @@
     from quetzalcourse.state.manifest import KeyHash
 
 KEY_SEPARATOR = '.'
-BUCKETS = 64
+BUCKET_COUNT = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,18 +57,18 @@
         """Begin without keys, so that every request is refused."""
         self.is_current: Callable[[], bool] = lambda: True
         self.records: dict[str, KeyRecord] = {}
-        self.buckets = [0] * BUCKETS
-        self._manifest: dict[str, KeyHash] = {}
+        self.buckets = [0] * BUCKET_COUNT
+        self._manifest_keys: dict[str, KeyHash] = {}
         self._watchers: dict[str, set[asyncio.Event]] = {}
         self._withdrawn_listeners: list[Callable[[str], None]] = []
         self._record_listeners: list[Callable[[KeyRecord], None]] = []
 
     def replace_grants(self, keys: Iterable[KeyHash]) -> None:
         """Take the granted keys of a manifest in place of those before."""
-        before = set(self._manifest)
-        self._manifest = {key.key_id: key for key in keys}
-        for key_id in before - set(self._manifest):
-            self._end_if_withdrawn(key_id)
+        before = set(self._manifest_keys)
+        self._manifest_keys = {key.key_id: key for key in keys}
+        for key_id in before - set(self._manifest_keys):
+            self._notify_if_withdrawn(key_id)
 
     def merge(self, record: KeyRecord, notify: bool = True) -> bool:
         """Take in a change; the order in which changes arrive is no matter.
@@ -80,11 +80,11 @@
         joined = held.join(record) if held else record
         if joined == held:
             return False
-        self._count(joined)
+        self._toggle_hash(joined)
         if held is not None:
-            self._count(held)
+            self._toggle_hash(held)
         self.records[record.key_id] = joined
-        self._end_if_withdrawn(record.key_id)
+        self._notify_if_withdrawn(record.key_id)
         if notify:
             for listener in self._record_listeners:
                 listener(joined)
@@ -99,7 +99,7 @@
         held = self.records.get(key_id)
         if held is not None and (held.withdrawn or held.digest):
             return held.withdrawn
-        return key_id not in self._manifest
+        return key_id not in self._manifest_keys
 
     def on_withdrawn(self, listener: Callable[[str], None]) -> None:
         """Call a listener with the id of each key that stops."""
@@ -150,7 +150,7 @@
         :returns: the account, or the refusal that its caller is told.
         """
         key_id, _, secret = bearer.partition(KEY_SEPARATOR)
-        granted: KeyHash | KeyRecord | None = self._manifest.get(key_id)
+        granted: KeyHash | KeyRecord | None = self._manifest_keys.get(key_id)
         held = self.records.get(key_id)
         if granted is None and held is not None and held.digest:
             granted = held
@@ -166,12 +166,12 @@
             return Err(refuse_key(RefusalCode.not_ready))
         return Ok(Identity(granted.client_account, key_id))
 
-    def _count(self, record: KeyRecord) -> None:
+    def _toggle_hash(self, record: KeyRecord) -> None:
         text = repr(record)
         digest = xxhash.xxh32_intdigest(text.encode())
         self.buckets[_choose_bucket(record.key_id)] ^= digest
 
-    def _end_if_withdrawn(self, key_id: str) -> None:
+    def _notify_if_withdrawn(self, key_id: str) -> None:
         if not self.is_withdrawn(key_id):
             return
         for event in self._watchers.get(key_id, ()):
@@ -181,7 +181,7 @@
 
 
 def _choose_bucket(key_id: str) -> int:
-    return xxhash.xxh32_intdigest(key_id.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(key_id.encode()) % BUCKET_COUNT
 
 
 def refuse_key(code: RefusalCode, not_run: bool = True) -> Refusal:
--- a/quetzalcourse/coordination/manifest/manifest_gossip.py
+++ b/quetzalcourse/coordination/manifest/manifest_gossip.py
@@ -27,21 +27,21 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import Manifest
 
-ASK_AGAIN = timedelta(seconds=1)
-FIRST_WAIT = timedelta(seconds=1)
-MESSAGE_BYTES = 256_000
+REQUEST_INTERVAL = timedelta(seconds=1)
+STARTUP_WAIT = timedelta(seconds=1)
+MAX_MESSAGE_BYTES = 256_000
 log = get_log('spread')
 
 
 class ManifestGossip:
     """Fetches newer manifests from other daemons, changed sections only.
 
-    :param keeper: holds the manifest in force.
+    :param manifest: holds the manifest in force.
     """
 
     def __init__(
         self,
-        keeper: ManifestStore,
+        manifest: ManifestStore,
         members: MemberView,
         peers: Peers,
         clock: Clock,
@@ -49,46 +49,46 @@
         counters: Counters,
     ) -> None:
         """Begin to listen."""
-        self._keeper = keeper
+        self._manifest = manifest
         self._members = members
         self._peers = peers
         self._clock = clock
         self._random = random
         self._counters = counters
-        self._best: tuple[int, Member] | None = None
-        self._first_heard: timedelta | None = None
-        self._asked = clock.elapsed() - ASK_AGAIN
+        self._newest_seen: tuple[int, Member] | None = None
+        self._first_seen_at: timedelta | None = None
+        self._requested_at = clock.elapsed() - REQUEST_INTERVAL
         self._pending: ManifestHead | None = None
         self._contents: dict[str, bytes] = {}
         peers.subscribe(Topic.manifest, self._receive)
-        keeper.on_manifest(self._announce)
+        manifest.on_manifest(self._broadcast)
 
     def on_digest(self, sender: Member, digest: Digest) -> None:
         """Compare a heartbeat's version with the one in force."""
-        self._hear(sender, digest.manifest)
+        self._on_version(sender, digest.manifest)
 
-    def _hear(self, sender: Member, version: int) -> None:
-        if version <= self._keeper.current.version:
+    def _on_version(self, sender: Member, version: int) -> None:
+        if version <= self._manifest.current.version:
             return
         now = self._clock.elapsed()
-        if self._first_heard is None:
-            self._first_heard = now
-        if self._best is None or version >= self._best[0]:
-            fresh = self._best is None or version > self._best[0]
-            self._best = (version, sender)
+        if self._first_seen_at is None:
+            self._first_seen_at = now
+        if self._newest_seen is None or version >= self._newest_seen[0]:
+            fresh = self._newest_seen is None or version > self._newest_seen[0]
+            self._newest_seen = (version, sender)
             if fresh:
-                self._asked = now - ASK_AGAIN
+                self._requested_at = now - REQUEST_INTERVAL
         # A daemon that starts without the store asks nobody until several
         # have told their versions. Taking the first one's would bring an
         # old version into force for a moment if that one lags.
-        starting = self._keeper.current.version == 0
-        if starting and now - self._first_heard < FIRST_WAIT:
+        starting = self._manifest.current.version == 0
+        if starting and now - self._first_seen_at < STARTUP_WAIT:
             return
-        if now - self._asked >= ASK_AGAIN:
-            self._asked = now
-            self._send(self._best[1], SpreadKind.ask)
+        if now - self._requested_at >= REQUEST_INTERVAL:
+            self._requested_at = now
+            self._send(self._newest_seen[1], SpreadKind.ask)
 
-    def _announce(self, _: Manifest) -> None:
+    def _broadcast(self, _: Manifest) -> None:
         for member in choose_gossip_peers(self._members, self._random):
             self._send(member, SpreadKind.announce)
 
@@ -99,59 +99,59 @@
             self._counters.add('peer_messages_dropped', reason='manifest')
             return
         if news.kind is SpreadKind.announce:
-            self._hear(sender, news.version)
+            self._on_version(sender, news.version)
         elif news.kind is SpreadKind.ask:
             self._send_head(sender)
         elif news.kind is SpreadKind.head:
-            self._take_head(sender, news)
+            self._on_head(sender, news)
         elif news.kind is SpreadKind.want:
             self._send_contents(sender, news.wanted)
         else:
-            self._take_contents(news)
+            self._on_contents(news)
 
-    def _take_head(self, sender: Member, news: ManifestNews) -> None:
-        newest = self._keeper.current.version
+    def _on_head(self, sender: Member, news: ManifestNews) -> None:
+        newest = self._manifest.current.version
         if self._pending is not None:
             newest = max(newest, self._pending.version - 1)
         if news.version <= newest:
             return
         head = ManifestHead(news.version, news.sections, news.accepted)
-        wanted = list_missing(head, self._keeper.sections)
+        wanted = list_missing(head, self._manifest.sections)
         self._contents = {
             digest: content
             for digest, content in self._contents.items()
             if digest in wanted
         }
         self._pending = head
-        self._finish()
+        self._apply_if_complete()
         missing = sorted(set(wanted) - set(self._contents))
         if missing:
-            version = self._keeper.head.version
+            version = self._manifest.head.version
             news = ManifestNews(SpreadKind.want, version, wanted=missing)
             self._send_news(sender, news)
 
-    def _take_contents(self, news: ManifestNews) -> None:
+    def _on_contents(self, news: ManifestNews) -> None:
         if self._pending is not None:
             known = set(self._pending.sections.values())
             for digest, content in news.contents.items():
                 if digest in known:
                     self._contents[digest] = content
-            self._finish()
+            self._apply_if_complete()
 
-    def _finish(self) -> None:
+    def _apply_if_complete(self) -> None:
         head = self._pending
-        held = self._contents | self._keeper.sections
+        held = self._contents | self._manifest.sections
         if head is None or list_missing(head, held):
             return
         self._pending = None
         self._contents = {}
-        taken = self._keeper.apply(head, held)
+        taken = self._manifest.apply(head, held)
         if isinstance(taken, Err):
             self._counters.add('peer_messages_dropped', reason='manifest')
             log.warning('Manifest refused.', reason=taken.err_value)
 
     def _send_head(self, receiver: Member) -> None:
-        head = self._keeper.head
+        head = self._manifest.head
         news = ManifestNews(
             SpreadKind.head, head.version, head.sections, head.accepted
         )
@@ -161,10 +161,10 @@
         batch: dict[str, bytes] = {}
         size = 0
         for digest in wanted:
-            content = self._keeper.sections.get(digest)
+            content = self._manifest.sections.get(digest)
             if content is None:
                 continue
-            if batch and size + len(content) > MESSAGE_BYTES:
+            if batch and size + len(content) > MAX_MESSAGE_BYTES:
                 self._send_batch(receiver, batch)
                 batch = {}
                 size = 0
@@ -174,12 +174,12 @@
             self._send_batch(receiver, batch)
 
     def _send_batch(self, receiver: Member, batch: dict[str, bytes]) -> None:
-        version = self._keeper.head.version
+        version = self._manifest.head.version
         news = ManifestNews(SpreadKind.contents, version, contents=batch)
         self._send_news(receiver, news)
 
     def _send(self, receiver: Member, kind: SpreadKind) -> None:
-        version = self._keeper.head.version
+        version = self._manifest.head.version
         self._send_news(receiver, ManifestNews(kind, version))
 
     def _send_news(self, receiver: Member, news: ManifestNews) -> None:
--- a/quetzalcourse/coordination/manifest/manifest_store.py
+++ b/quetzalcourse/coordination/manifest/manifest_store.py
@@ -140,7 +140,7 @@
                 contents[digest] = answer.ok_value
         taken = self.apply(head, contents)
         if isinstance(taken, Err):
-            return Err(_refuse_bytes(taken.err_value))
+            return Err(_build_fault(taken.err_value))
         return Ok(self.current.version)
 
     async def accept(
@@ -163,9 +163,9 @@
             stored = await self._objects.put(hashes[name], content)
             if isinstance(stored, Err):
                 return stored
-        return await self._swap(hashes, replaces)
+        return await self._compare_and_set(hashes, replaces)
 
-    async def _swap(
+    async def _compare_and_set(
         self,
         hashes: dict[str, str],
         replaces: int,
@@ -178,9 +178,9 @@
         if isinstance(read, Err):
             return read
         found = read.ok_value
-        wanted = ManifestHead(replaces + 1, hashes)
-        if found.has_accepted(wanted):
-            return Ok(wanted.version)
+        proposed = ManifestHead(replaces + 1, hashes)
+        if found.has_accepted(proposed):
+            return Ok(proposed.version)
         if found.version != replaces:
             return Err(ManifestConflict(found.version))
         head = found.make_successor(hashes)
@@ -196,9 +196,9 @@
             FaultKind.not_applied
         ):
             return written
-        return await self._settle(head)
+        return await self._resolve_outcome(head)
 
-    async def _settle(
+    async def _resolve_outcome(
         self,
         head: ManifestHead,
     ) -> Result[int, ManifestConflict | StoreFault]:
@@ -223,10 +223,10 @@
 def _read_head(row: Row | None) -> Result[ManifestHead, StoreFault]:
     if row is None:
         return Ok(NO_HEAD)
-    return decode_head(row.content).map_err(_refuse_bytes)
+    return decode_head(row.content).map_err(_build_fault)
 
 
-def _refuse_bytes(reason: str) -> StoreFault:
+def _build_fault(reason: str) -> StoreFault:
     return StoreFault(
         FaultKind.not_applied, f'read manifest: {reason}', 'store'
     )
--- a/quetzalcourse/coordination/manifest/sections.py
+++ b/quetzalcourse/coordination/manifest/sections.py
@@ -28,7 +28,7 @@
 PART_SEPARATOR = '/'
 ENTRIES_PER_PART = 32
 HASH_LENGTH = 32
-ACCEPTED_KEPT = 32
+MAX_ACCEPTED_VERSIONS = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
         """
         following = ManifestHead(self.version + 1, sections)
         accepted = self.accepted | {following.version: following.fingerprint()}
-        oldest = following.version - ACCEPTED_KEPT
+        oldest = following.version - MAX_ACCEPTED_VERSIONS
         kept = {
             version: fingerprint
             for version, fingerprint in accepted.items()
--- a/quetzalcourse/coordination/manifest/store_poller.py
+++ b/quetzalcourse/coordination/manifest/store_poller.py
@@ -9,7 +9,7 @@
 
 from quetzalcourse.coordination.manifest.key_change_log import (
     KEYS_HEAD_KEY,
-    read_sequence,
+    decode_sequence,
 )
 from quetzalcourse.coordination.manifest.manifest_store import MANIFEST_KEY
 from quetzalcourse.log import get_log
@@ -27,9 +27,9 @@
     from quetzalcourse.state.rows import Row, StoreFault
 
 HEADS_PREFIX = 'heads/'
-SPREAD = 0.3
+JITTER = 0.3
 WRITES_PER_POLL = 8
-LATEST_CHECK = timedelta(seconds=1)
+MAX_SLEEP = timedelta(seconds=1)
 log = get_log('following')
 
 
@@ -46,9 +46,9 @@
     def __init__(
         self,
         table: Table,
-        keeper: ManifestStore,
-        keys: KeyChangeLog,
-        ring: KeyRing,
+        manifest: ManifestStore,
+        key_log: KeyChangeLog,
+        key_ring: KeyRing,
         members: MemberView,
         clock: Clock,
         random: Random,
@@ -56,11 +56,11 @@
     ) -> None:
         """Begin with nothing read."""
         self.unreachable_since: datetime | None = None
-        self.read_at: timedelta | None = None
+        self.last_read_at: timedelta | None = None
         self._table = table
-        self._keeper = keeper
-        self._keys = keys
-        self._ring = ring
+        self._manifest = manifest
+        self._key_log = key_log
+        self._key_ring = key_ring
         self._members = members
         self._clock = clock
         self._random = random
@@ -72,7 +72,7 @@
         """List the key changes that the table does not have yet."""
         return [
             record
-            for key_id, record in self._ring.records.items()
+            for key_id, record in self._key_ring.records.items()
             if self._stored.get(key_id) != record
         ]
 
@@ -80,69 +80,71 @@
         """Read in turns until cancelled."""
         last = self._clock.elapsed()
         # Daemons that start together would otherwise read together.
-        share = self._random.random()
+        jitter = self._random.random()
         while True:
-            near = self._members.list_live(self._members.own.data_centre)
-            due = last + self._interval * len(near) * share
+            local = self._members.list_live(self._members.own.data_centre)
+            due = last + self._interval * len(local) * jitter
             wait = due - self._clock.elapsed()
             if wait > timedelta(0):
                 # The count of live daemons may fall meanwhile, as in a cut;
                 # a single long sleep would leave the store unread for long.
-                await self._clock.sleep(min(wait, LATEST_CHECK))
+                await self._clock.sleep(min(wait, MAX_SLEEP))
                 continue
             last = self._clock.elapsed()
-            share = self._draw_share()
+            jitter = self._draw_jitter()
             await self.poll()
 
     async def poll(self) -> None:
         """Read once and take in what is new."""
-        began = self._clock.elapsed()
+        started_at = self._clock.elapsed()
         answer = await self._table.scan(HEADS_PREFIX)
         if isinstance(answer, Err):
-            self._note_fault(answer.err_value)
+            self._on_fault(answer.err_value)
             return
         rows = {row.key: row for row in answer.ok_value}
-        followed = await self._keeper.refresh_from_row(rows.get(MANIFEST_KEY))
-        if isinstance(followed, Err):
-            self._note_fault(followed.err_value)
+        refreshed = await self._manifest.refresh_from_row(
+            rows.get(MANIFEST_KEY)
+        )
+        if isinstance(refreshed, Err):
+            self._on_fault(refreshed.err_value)
             return
-        fault = await self._follow_keys(rows.get(KEYS_HEAD_KEY))
+        fault = await self._poll_keys(rows.get(KEYS_HEAD_KEY))
         if fault is not None:
-            self._note_fault(fault)
+            self._on_fault(fault)
             return
-        self.read_at = began
+        self.last_read_at = started_at
         if self.unreachable_since is not None:
             self.unreachable_since = None
             log.info('Store is read again.')
 
-    async def _follow_keys(self, row: Row | None) -> StoreFault | None:
-        if read_sequence(row) > self._sequence:
-            read = await self._keys.read_after(self._sequence)
+    async def _poll_keys(self, row: Row | None) -> StoreFault | None:
+        if decode_sequence(row) > self._sequence:
+            read = await self._key_log.read_after(self._sequence)
             if isinstance(read, Err):
                 return read.err_value
             # The whole log is read at the start; others know it already,
             # and passing thousands of old changes on would be a storm.
-            starting = self._sequence == 0
+            initial_load = self._sequence == 0
             sequence, records = read.ok_value
             self._sequence = sequence
             for record in records:
-                self._take(record, notify=not starting)
+                self._merge_record(record, notify=not initial_load)
         for unstored in self.list_unstored()[:WRITES_PER_POLL]:
-            written = await self._keys.append(unstored)
+            written = await self._key_log.append(unstored)
             if isinstance(written, Err):
                 return written.err_value
             self._stored[unstored.key_id] = unstored
         return None
 
-    def _take(self, record: KeyRecord, notify: bool) -> None:
-        self._ring.merge(record, notify=notify)
+    def _merge_record(self, record: KeyRecord, notify: bool) -> None:
+        self._key_ring.merge(record, notify=notify)
         known = self._stored.get(record.key_id)
         self._stored[record.key_id] = known.join(record) if known else record
 
-    def _note_fault(self, fault: StoreFault) -> None:
+    def _on_fault(self, fault: StoreFault) -> None:
         if self.unreachable_since is None:
             self.unreachable_since = self._clock.now()
             log.warning('Store not read.', step=fault.step, peer=fault.peer)
 
-    def _draw_share(self) -> float:
-        return 1 + SPREAD * (2 * self._random.random() - 1)
+    def _draw_jitter(self) -> float:
+        return 1 + JITTER * (2 * self._random.random() - 1)
--- a/quetzalcourse/coordination/membership/member_list.py
+++ b/quetzalcourse/coordination/membership/member_list.py
@@ -16,8 +16,8 @@
 
     from quetzalcourse.state.members import Member
 
-FORGET_AFTER = timedelta(minutes=10)
-REPEATS = 3
+GONE_RETENTION = timedelta(minutes=10)
+RETRANSMIT_FACTOR = 3
 
 
 @dataclass(slots=True)
@@ -32,14 +32,14 @@
 
 
 @dataclass(slots=True)
-class Rumour:
+class PendingGossip:
     """News that is still being passed on.
 
-    :param repeats: in how many more messages it goes out.
+    :param remaining: in how many more messages it goes out.
     """
 
     change: Change
-    repeats: int
+    remaining: int
 
 
 class MemberList:
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         """Begin with nobody."""
         self.entries: dict[str, Entry] = {}
-        self._rumours: dict[str, Rumour] = {}
+        self._pending_gossip: dict[str, PendingGossip] = {}
         self._hashes: dict[str, int] | None = None
 
     def find(self, incarnation: str) -> Change | None:
@@ -56,7 +56,7 @@
         entry = self.entries.get(incarnation)
         return entry.change if entry else None
 
-    def list_standing(self) -> list[Change]:
+    def list_present(self) -> list[Change]:
         """List the daemons that are not gone."""
         return [
             entry.change
@@ -68,8 +68,10 @@
         """Hold news as it is, and pass it on."""
         self.entries[change.incarnation] = Entry(change, now)
         count = len(self.entries)
-        repeats = REPEATS * math.ceil(math.log2(count + 1))
-        self._rumours[change.incarnation] = Rumour(change, repeats)
+        remaining = RETRANSMIT_FACTOR * math.ceil(math.log2(count + 1))
+        self._pending_gossip[change.incarnation] = PendingGossip(
+            change, remaining
+        )
         self._hashes = None
 
     def merge(self, change: Change, now: timedelta) -> bool:
@@ -97,7 +99,9 @@
         self.record(change, now)
         return True
 
-    def judge(self, member: Member, standing: Standing, now: timedelta) -> bool:
+    def escalate(
+        self, member: Member, standing: Standing, now: timedelta
+    ) -> bool:
         """Change the standing of a daemon on own evidence.
 
         :returns: whether the evidence changed anything.
@@ -119,8 +123,8 @@
             standing = entry.change.standing
             if standing is Standing.suspect and age >= suspicion:
                 member = entry.change.read_member()
-                changed = self.judge(member, Standing.gone, now) or changed
-            elif standing is Standing.gone and age >= FORGET_AFTER:
+                changed = self.escalate(member, Standing.gone, now) or changed
+            elif standing is Standing.gone and age >= GONE_RETENTION:
                 self.entries.pop(incarnation)
         return changed
 
@@ -129,33 +133,34 @@
         for entry in self.entries.values():
             entry.since += pause
 
-    def take_rumours(self, count: int) -> list[Change]:
+    def take_gossip(self, count: int) -> list[Change]:
         """Choose the news that was passed on least."""
         chosen = sorted(
-            self._rumours.values(), key=lambda rumour: -rumour.repeats
+            self._pending_gossip.values(),
+            key=lambda pending: -pending.remaining,
         )[:count]
-        for rumour in chosen:
-            rumour.repeats -= 1
-            if not rumour.repeats:
-                self._rumours.pop(rumour.change.incarnation)
-        return [rumour.change for rumour in chosen]
+        for pending in chosen:
+            pending.remaining -= 1
+            if not pending.remaining:
+                self._pending_gossip.pop(pending.change.incarnation)
+        return [pending.change for pending in chosen]
 
-    def hash_parts(self) -> dict[str, int]:
+    def hash_data_centres(self) -> dict[str, int]:
         """Hash the list of each data centre; equal lists hash equally."""
         if self._hashes is None:
-            self._hashes = _hash_parts(self.list_standing())
+            self._hashes = _hash_data_centres(self.list_present())
         return self._hashes
 
-    def hash_whole(self) -> int:
+    def hash_all(self) -> int:
         """Hash the list of all data centres."""
         whole = 0
-        for part in self.hash_parts().values():
+        for part in self.hash_data_centres().values():
             whole ^= part
         return whole
 
     def list_different(self, hashes: dict[str, int]) -> list[Change]:
         """List the news of the data centres whose hash is another one."""
-        own = self.hash_parts()
+        own = self.hash_data_centres()
         return [
             entry.change
             for entry in self.entries.values()
@@ -164,7 +169,7 @@
         ]
 
 
-def _hash_parts(changes: Iterable[Change]) -> dict[str, int]:
+def _hash_data_centres(changes: Iterable[Change]) -> dict[str, int]:
     hashes: dict[str, int] = {}
     for change in changes:
         text = f'{change.incarnation} {change.counter} {change.leaving}'
--- a/quetzalcourse/coordination/membership/membership.py
+++ b/quetzalcourse/coordination/membership/membership.py
@@ -30,7 +30,7 @@
 
 CHANGES_PER_MESSAGE = 8
 CHANGES_PER_VIEW = 40
-RELAYS = 3
+INDIRECT_PROBES = 3
 PAUSE_FACTOR = 2.5
 log = get_log('membership')
 
@@ -93,19 +93,19 @@
         self._counters = counters
         self._timings = timings or MembershipTimings()
         self._counter = 1
-        self._roster = MemberList()
+        self._member_list = MemberList()
         self._probes = Probes(self._timings.probe_timeout)
-        self._near = Rotation(random)
-        self._far = Rotation(random)
+        self._local_rotation = Rotation(random)
+        self._remote_rotation = Rotation(random)
         self._seeds: tuple[str, ...] = ()
         self._ticks = 0
-        self._ticked = clock.elapsed()
-        self._agreed = clock.elapsed()
+        self._last_tick = clock.elapsed()
+        self._views_agreed_at = clock.elapsed()
         self._live: list[Member] = [own]
         self._listeners: list[Callable[[], None]] = []
         self._own_listeners: list[Callable[[Member], None]] = []
         self._digest_listeners: list[Callable[[Member, Digest], None]] = []
-        self._announce(own)
+        self._publish_own(own)
         peers.subscribe(Topic.heartbeat, self._receive)
 
     def list_live(self, data_centre: str = '') -> list[Member]:
@@ -134,14 +134,14 @@
         :param addresses: where they listen for other daemons.
         """
         leaving = set(addresses)
-        for change in self._roster.list_standing():
+        for change in self._member_list.list_present():
             if change.address in leaving and not change.leaving:
                 member = replace(change.read_member(), leaving=True)
-                self._learn(
+                self._merge_change(
                     describe(member, change.counter + 1, change.standing),
                     self._clock.elapsed(),
                 )
-        self._refresh()
+        self._refresh_live()
 
     def on_own_change(self, listener: Callable[[Member], None]) -> None:
         """Call a listener whenever the own member changed."""
@@ -150,19 +150,19 @@
     def announce_leaving(self) -> None:
         """Tell the others that this daemon began its graceful shutdown."""
         if not self.own.leaving:
-            self._announce(replace(self.own, leaving=True))
+            self._publish_own(replace(self.own, leaving=True))
 
     def announce_gone(self) -> None:
         """Tell some daemons that this one ends now."""
         self._counter += 1
         change = describe(self.own, self._counter, Standing.gone)
         others = [peer for peer in self._live if peer != self.own]
-        for peer in self._choose(others, RELAYS):
+        for peer in self._sample(others, INDIRECT_PROBES):
             self._send(peer, HeartbeatKind.answer, changes=[change])
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
-        self._ticked = self._clock.elapsed()
+        self._last_tick = self._clock.elapsed()
         while True:
             self.tick()
             await self._clock.sleep(self._timings.tick)
@@ -170,65 +170,69 @@
     def tick(self) -> None:
         """Judge silences and send the heartbeats that are due."""
         now = self._clock.elapsed()
-        gap = now - self._ticked
-        self._ticked = now
+        elapsed = now - self._last_tick
+        self._last_tick = now
         self._ticks += 1
-        if gap > self._timings.tick * PAUSE_FACTOR:
+        if elapsed > self._timings.tick * PAUSE_FACTOR:
             # This process stood still, so answers that came meanwhile are
             # still unread. Judging others now would evict live daemons in
             # bulk after each own pause.
-            self._roster.shift(gap)
-            self._probes.shift(gap)
-            self._agreed += gap
+            self._member_list.shift(elapsed)
+            self._probes.shift(elapsed)
+            self._views_agreed_at += elapsed
             self._counters.add('own_pauses')
         else:
-            self._judge(now)
-        self._send_due(now)
-
-    def _judge(self, now: timedelta) -> None:
-        for silent in self._probes.take_unanswered(now):
-            helpers = [peer for peer in self._live if peer != self.own]
-            for helper in self._choose(helpers, RELAYS):
-                self._send(helper, HeartbeatKind.relay, subject=silent.address)
+            self._check_probes(now)
+        self._send_pings(now)
+
+    def _check_probes(self, now: timedelta) -> None:
+        for overdue in self._probes.take_overdue(now):
+            relays = [peer for peer in self._live if peer != self.own]
+            for relay in self._sample(relays, INDIRECT_PROBES):
+                self._send(relay, HeartbeatKind.relay, subject=overdue.address)
         for failed in self._probes.take_failed(now):
-            if self._roster.judge(failed, Standing.suspect, now):
+            if self._member_list.escalate(failed, Standing.suspect, now):
                 self._counters.add('suspicions')
                 self._ping(failed, now)
-        if self._roster.expire(self._timings.suspicion_timeout, now):
-            self._refresh()
+        if self._member_list.expire(self._timings.suspicion_timeout, now):
+            self._refresh_live()
 
-    def _send_due(self, now: timedelta) -> None:
-        centre = self.own.data_centre
-        near = self._near.choose(
-            [peer for peer in self._live if peer.data_centre == centre],
+    def _send_pings(self, now: timedelta) -> None:
+        data_centre = self.own.data_centre
+        local = self._local_rotation.choose(
+            [peer for peer in self._live if peer.data_centre == data_centre],
             self.own,
         )
-        if near is not None:
-            self._ping(near, now)
-        if self._ticks % self._timings.remote_ticks == 1 or not near:
-            far = self._far.choose(
-                [peer for peer in self._live if peer.data_centre != centre],
+        if local is not None:
+            self._ping(local, now)
+        if self._ticks % self._timings.remote_ticks == 1 or not local:
+            remote = self._remote_rotation.choose(
+                [
+                    peer
+                    for peer in self._live
+                    if peer.data_centre != data_centre
+                ],
                 self.own,
             )
-            if far is not None:
-                self._ping(far, now)
-            self._try_seed()
+            if remote is not None:
+                self._ping(remote, now)
+            self._ping_seed()
 
-    def _try_seed(self) -> None:
+    def _ping_seed(self) -> None:
         known = {member.address for member in self._live}
         unknown = [seed for seed in self._seeds if seed not in known]
-        for address in self._choose(unknown, 1):
+        for address in self._sample(unknown, 1):
             target = Member('', '', '', address)
             self._send(target, HeartbeatKind.ping)
 
     def _ping(self, target: Member, now: timedelta) -> None:
-        self._probes.ask(target, now)
-        doubts = self._list_doubts(target)
-        self._send(target, HeartbeatKind.ping, changes=doubts)
+        self._probes.start(target, now)
+        suspicions = self._list_suspicions(target)
+        self._send(target, HeartbeatKind.ping, changes=suspicions)
 
-    def _list_doubts(self, member: Member) -> list[Change]:
+    def _list_suspicions(self, member: Member) -> list[Change]:
         """List what a daemon has to refute if it hears this."""
-        held = self._roster.find(member.incarnation)
+        held = self._member_list.find(member.incarnation)
         return [held] if held is not None and held.standing else []
 
     def _receive(self, sender: Member, content: bytes) -> None:
@@ -240,65 +244,67 @@
         if sender.incarnation == self.own.incarnation:
             return
         now = self._clock.elapsed()
-        changed = self._hear(sender, heartbeat.counter, now)
+        changed = self._on_direct_message(sender, heartbeat.counter, now)
         for change in heartbeat.changes:
-            changed = self._learn(change, now) or changed
+            changed = self._merge_change(change, now) or changed
         if changed:
-            self._refresh()
-        self._answer(sender, heartbeat, now)
+            self._refresh_live()
+        self._respond(sender, heartbeat, now)
         digest = Digest(
             heartbeat.manifest, heartbeat.keys, unpack_age(heartbeat.news_age)
         )
         for listener in self._digest_listeners:
             listener(sender, digest)
 
-    def _hear(self, sender: Member, counter: int, now: timedelta) -> bool:
+    def _on_direct_message(
+        self, sender: Member, counter: int, now: timedelta
+    ) -> bool:
         """Take a message from a daemon itself as the best news of it."""
-        self._probes.settle(sender.incarnation)
+        self._probes.resolve(sender.incarnation)
         for requester in self._probes.take_requesters(sender.address):
             self._send(
                 requester, HeartbeatKind.answer, subject=sender.incarnation
             )
-        changed = self._roster.merge(
+        changed = self._member_list.merge(
             describe(sender, counter, Standing.alive), now
         )
-        held = self._roster.find(sender.incarnation)
+        held = self._member_list.find(sender.incarnation)
         if held is not None and held.standing is not Standing.gone:
-            changed = self._end_replaced(sender, now) or changed
+            changed = self._evict_replaced(sender, now) or changed
         return changed
 
-    def _end_replaced(self, sender: Member, now: timedelta) -> bool:
+    def _evict_replaced(self, sender: Member, now: timedelta) -> bool:
         # Only one process can listen on an address. Without this the run
         # before a VM's replacement would count as live until probes failed,
         # and they don't fail while its successor answers.
         replaced = [
             change.read_member()
-            for change in self._roster.list_standing()
+            for change in self._member_list.list_present()
             if change.address == sender.address
             and change.incarnation != sender.incarnation
         ]
         for member in replaced:
-            self._roster.judge(member, Standing.gone, now)
+            self._member_list.escalate(member, Standing.gone, now)
         return bool(replaced)
 
-    def _learn(self, change: Change, now: timedelta) -> bool:
+    def _merge_change(self, change: Change, now: timedelta) -> bool:
         if change.incarnation == self.own.incarnation:
             self._refute(change)
             return False
         if change.address == self.own.address:
             return False
-        return self._roster.merge(change, now)
+        return self._member_list.merge(change, now)
 
     def _refute(self, change: Change) -> None:
         if change.counter < self._counter:
             return
-        told_to_leave = change.leaving and not self.own.leaving
-        if change.standing or told_to_leave:
+        asked_to_leave = change.leaving and not self.own.leaving
+        if change.standing or asked_to_leave:
             self._counter = change.counter
-            self._announce(replace(self.own, leaving=change.leaving))
+            self._publish_own(replace(self.own, leaving=change.leaving))
             self._counters.add('refutations')
 
-    def _answer(
+    def _respond(
         self,
         sender: Member,
         heartbeat: Heartbeat,
@@ -306,12 +312,12 @@
     ) -> None:
         kind = heartbeat.kind
         if kind is HeartbeatKind.ping:
-            doubts = self._list_doubts(sender)
-            self._send(sender, HeartbeatKind.answer, changes=doubts)
+            suspicions = self._list_suspicions(sender)
+            self._send(sender, HeartbeatKind.answer, changes=suspicions)
         elif kind is HeartbeatKind.answer and heartbeat.subject:
-            self._probes.settle(heartbeat.subject)
+            self._probes.resolve(heartbeat.subject)
         elif kind is HeartbeatKind.relay:
-            self._probes.ask_for(sender, heartbeat.subject)
+            self._probes.add_requester(sender, heartbeat.subject)
             target = Member('', '', '', heartbeat.subject)
             self._send(target, HeartbeatKind.ping)
         elif kind is HeartbeatKind.view_request:
@@ -320,23 +326,23 @@
             self._compare_view(sender, heartbeat.view, now)
 
     def _compare_view(self, sender: Member, view: int, now: timedelta) -> None:
-        if view == self._roster.hash_whole():
-            self._agreed = now
+        if view == self._member_list.hash_all():
+            self._views_agreed_at = now
             return
         # News on its way makes lists differ for a moment; only a difference
         # that lasts, or a list that has just begun, is worth a whole view.
         wait = self._timings.view_request_interval * (1 + self._random.random())
         alone = len(self._live) <= 2
-        if alone or now - self._agreed > wait:
-            self._agreed = now
+        if alone or now - self._views_agreed_at > wait:
+            self._views_agreed_at = now
             self._send(
                 sender,
                 HeartbeatKind.view_request,
-                hashes=self._roster.hash_parts(),
+                hashes=self._member_list.hash_data_centres(),
             )
 
     def _send_view(self, receiver: Member, hashes: dict[str, int]) -> None:
-        different = self._roster.list_different(hashes)
+        different = self._member_list.list_different(hashes)
         for start in range(0, len(different), CHANGES_PER_VIEW):
             chunk = different[start : start + CHANGES_PER_VIEW]
             self._send(receiver, HeartbeatKind.view, changes=chunk)
@@ -352,13 +358,13 @@
         digest = self.build_digest()
         news = changes or []
         if kind in {HeartbeatKind.ping, HeartbeatKind.answer}:
-            news = news + self._roster.take_rumours(CHANGES_PER_MESSAGE)
+            news = news + self._member_list.take_gossip(CHANGES_PER_MESSAGE)
         heartbeat = Heartbeat(
             kind,
             self._counter,
             digest.manifest,
             digest.keys,
-            self._roster.hash_whole(),
+            self._member_list.hash_all(),
             news,
             subject,
             hashes or {},
@@ -367,20 +373,20 @@
         content = msgspec.msgpack.encode(heartbeat)
         self._peers.send(receiver, Topic.heartbeat, content)
 
-    def _announce(self, own: Member) -> None:
+    def _publish_own(self, own: Member) -> None:
         """Raise the own counter, so that the news beats what is told."""
         self.own = own
         for listener in self._own_listeners:
             listener(own)
         self._counter += 1
         change = describe(own, self._counter, Standing.alive)
-        self._roster.record(change, self._clock.elapsed())
-        self._refresh()
+        self._member_list.record(change, self._clock.elapsed())
+        self._refresh_live()
 
-    def _refresh(self) -> None:
-        standing = self._roster.list_standing()
+    def _refresh_live(self) -> None:
+        present = self._member_list.list_present()
         live = sorted(
-            (change.read_member() for change in standing),
+            (change.read_member() for change in present),
             key=lambda member: member.incarnation,
         )
         if live == self._live:
@@ -392,7 +398,7 @@
         for listener in self._listeners:
             listener()
 
-    def _choose(self, candidates: list, count: int) -> list:
+    def _sample(self, candidates: list, count: int) -> list:
         return self._random.sample(candidates, min(count, len(candidates)))
 
 
--- a/quetzalcourse/coordination/membership/partitions.py
+++ b/quetzalcourse/coordination/membership/partitions.py
@@ -16,7 +16,7 @@
     from quetzalcourse.state.members import Member
 
 PLATFORM = 'platform'
-WATCH_EVERY = timedelta(seconds=1)
+GAUGE_INTERVAL = timedelta(seconds=1)
 
 
 class StoreFreshness:
@@ -26,17 +26,17 @@
     rarely reads the store itself still knows that its data centre hears it.
     """
 
-    def __init__(self, follower: StorePoller, clock: Clock) -> None:
+    def __init__(self, poller: StorePoller, clock: Clock) -> None:
         """Begin without any news."""
-        self._follower = follower
+        self._poller = poller
         self._clock = clock
-        self._heard: timedelta | None = None
+        self._peer_read_at: timedelta | None = None
 
     def find_age(self) -> timedelta | None:
         """Tell the age of the newest word, ``None`` if there was none."""
         times = [
             time
-            for time in (self._heard, self._follower.read_at)
+            for time in (self._peer_read_at, self._poller.last_read_at)
             if time is not None
         ]
         return self._clock.elapsed() - max(times) if times else None
@@ -45,9 +45,9 @@
         """Take the age that another daemon knows of."""
         if digest.news_age is None:
             return
-        heard = self._clock.elapsed() - digest.news_age
-        if self._heard is None or heard > self._heard:
-            self._heard = heard
+        read_at = self._clock.elapsed() - digest.news_age
+        if self._peer_read_at is None or read_at > self._peer_read_at:
+            self._peer_read_at = read_at
 
     def is_current(self, longest: timedelta | None) -> bool:
         """Tell whether the news is recent enough to serve keys by.
@@ -63,23 +63,23 @@
 class PartitionTracker:
     """Keeps the list of what can't be reached.
 
-    :param follower: knows whether the platform answers this daemon.
+    :param poller: knows whether the platform answers this daemon.
     """
 
     def __init__(
         self,
-        follower: StorePoller,
+        poller: StorePoller,
         members: MemberView,
         clock: Clock,
         counters: Counters,
     ) -> None:
         """Begin with nothing cut."""
-        self._follower = follower
+        self._poller = poller
         self._members = members
         self._clock = clock
         self._counters = counters
-        self._known: set[str] = set()
-        self._lost: dict[str, datetime] = {}
+        self._known_data_centres: set[str] = set()
+        self._lost_since: dict[str, datetime] = {}
         members.on_change(self._on_members)
 
     def list_partitions(self) -> dict[str, datetime]:
@@ -87,30 +87,30 @@
 
         :returns: times by ``platform`` or the data centre's name.
         """
-        cuts = dict(self._lost)
-        if self._follower.unreachable_since is not None:
-            cuts[PLATFORM] = self._follower.unreachable_since
-        return cuts
+        partitions = dict(self._lost_since)
+        if self._poller.unreachable_since is not None:
+            partitions[PLATFORM] = self._poller.unreachable_since
+        return partitions
 
     async def run(self) -> None:
         """Keep the gauges up to date until cancelled."""
         while True:
-            self.show()
-            await self._clock.sleep(WATCH_EVERY)
+            self.update_gauges()
+            await self._clock.sleep(GAUGE_INTERVAL)
 
-    def show(self) -> None:
+    def update_gauges(self) -> None:
         """Write the length of each cut into the metrics, 0 if healed."""
         now = self._clock.now()
-        cuts = self.list_partitions()
-        for name in (PLATFORM, *self._known):
-            since = cuts.get(name, now)
+        partitions = self.list_partitions()
+        for name in (PLATFORM, *self._known_data_centres):
+            since = partitions.get(name, now)
             seconds = (now - since).total_seconds()
             self._counters.set('cut_seconds', seconds, peer=name)
 
     def _on_members(self) -> None:
         live = {member.data_centre for member in self._members.list_live()}
-        self._known |= live
-        for name in self._known - live:
-            self._lost.setdefault(name, self._clock.now())
-        for name in live & set(self._lost):
-            self._lost.pop(name)
+        self._known_data_centres |= live
+        for name in self._known_data_centres - live:
+            self._lost_since.setdefault(name, self._clock.now())
+        for name in live & set(self._lost_since):
+            self._lost_since.pop(name)
--- a/quetzalcourse/coordination/membership/probes.py
+++ b/quetzalcourse/coordination/membership/probes.py
@@ -11,8 +11,8 @@
 
     from quetzalcourse.state.members import Member
 
-REQUESTERS = 8
-SUBJECTS = 256
+MAX_REQUESTERS = 8
+MAX_SUBJECTS = 256
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     """
 
     target: Member
-    asked: timedelta
+    sent_at: timedelta
     relayed: bool = False
 
 
@@ -35,30 +35,30 @@
 
     def __init__(self, probe_timeout: timedelta) -> None:
         """Begin with none."""
-        self._answer_within = probe_timeout
+        self._probe_timeout = probe_timeout
         self._open: dict[str, Probe] = {}
         self._requesters: dict[str, list[Member]] = {}
 
-    def ask(self, target: Member, now: timedelta) -> None:
+    def start(self, target: Member, now: timedelta) -> None:
         """Follow a heartbeat, unless one to the same daemon is open."""
         if target.incarnation not in self._open:
             self._open[target.incarnation] = Probe(target, now)
 
-    def settle(self, incarnation: str) -> None:
+    def resolve(self, incarnation: str) -> None:
         """Take a daemon as having answered."""
         self._open.pop(incarnation, None)
 
     def shift(self, pause: timedelta) -> None:
         """Leave the length of an own pause out of every wait."""
         for probe in self._open.values():
-            probe.asked += pause
+            probe.sent_at += pause
 
-    def take_unanswered(self, now: timedelta) -> list[Member]:
+    def take_overdue(self, now: timedelta) -> list[Member]:
         """List, once each, the targets that others should try."""
         late = [
             probe
             for probe in self._open.values()
-            if not probe.relayed and now - probe.asked >= self._answer_within
+            if not probe.relayed and now - probe.sent_at >= self._probe_timeout
         ]
         for probe in late:
             probe.relayed = True
@@ -69,19 +69,19 @@
         failed = [
             probe.target
             for probe in self._open.values()
-            if now - probe.asked >= self._answer_within * 2
+            if now - probe.sent_at >= self._probe_timeout * 2
         ]
         for target in failed:
             self._open.pop(target.incarnation)
         return failed
 
-    def ask_for(self, requester: Member, address: str) -> None:
+    def add_requester(self, requester: Member, address: str) -> None:
         """Remember who wants to know whether an address answers."""
         waiting = self._requesters.setdefault(address, [])
-        if len(waiting) < REQUESTERS:
+        if len(waiting) < MAX_REQUESTERS:
             waiting.append(requester)
         # Addresses that never answer would stay for ever; the oldest go.
-        if len(self._requesters) > SUBJECTS:
+        if len(self._requesters) > MAX_SUBJECTS:
             self._requesters.pop(next(iter(self._requesters)))
 
     def take_requesters(self, address: str) -> list[Member]:
@@ -99,7 +99,7 @@
     def __init__(self, random: Random) -> None:
         """Begin a new round with the first choice."""
         self._random = random
-        self._round: list[str] = []
+        self._remaining: list[str] = []
 
     def choose(self, members: list[Member], own: Member) -> Member | None:
         """Choose the next member.
@@ -115,9 +115,9 @@
         if not by_name:
             return None
         while True:
-            if not self._round:
-                self._round = sorted(by_name)
-                self._random.shuffle(self._round)
-            chosen = by_name.get(self._round.pop())
+            if not self._remaining:
+                self._remaining = sorted(by_name)
+                self._random.shuffle(self._remaining)
+            chosen = by_name.get(self._remaining.pop())
             if chosen is not None:
                 return chosen
--- a/quetzalcourse/coordination/membership/status.py
+++ b/quetzalcourse/coordination/membership/status.py
@@ -15,13 +15,13 @@
         """Begin empty."""
         self._sources: dict[str, Callable[[], Any]] = {}
 
-    def add(self, name: str, tell: Callable[[], Any]) -> None:
+    def add(self, name: str, source: Callable[[], Any]) -> None:
         """Show one more part.
 
-        :param tell: called for each request; gives what JSON can hold.
+        :param source: called for each request; gives what JSON can hold.
         """
-        self._sources[name] = tell
+        self._sources[name] = source
 
     def collect(self) -> dict[str, Any]:
         """Ask every part."""
-        return {name: tell() for name, tell in self._sources.items()}
+        return {name: source() for name, source in self._sources.items()}
--- a/quetzalcourse/coordination/tasks.py
+++ b/quetzalcourse/coordination/tasks.py
@@ -29,9 +29,9 @@
         self._name = name
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, body: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Begin a task."""
-        task = asyncio.get_running_loop().create_task(body)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
--- a/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
@@ -25,8 +25,8 @@
 
 NEAR = Member('vm-n', 'vm-n:1', 'hall-n', 'n:1')
 FAR = Member('vm-f', 'vm-f:1', 'hall-f', 'f:1')
-GAP = timedelta(seconds=0.5)
-LONGEST = find_liveness_timeout(GAP, timedelta(0))
+HEARTBEAT_INTERVAL = timedelta(seconds=0.5)
+LIVENESS_TIMEOUT = find_liveness_timeout(HEARTBEAT_INTERVAL, timedelta(0))
 
 
 class World:
@@ -36,14 +36,17 @@
         """Begin with both rows known."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
-        self.able = True
+        self.far_reaches_store = True
         self.near = self._build(NEAR)
         self.far = self._build(FAR)
         self.probes = LivenessProbes(
             self.near, self.network.join(NEAR), lambda: True, self.clock
         )
         LivenessProbes(
-            self.far, self.network.join(FAR), lambda: self.able, self.clock
+            self.far,
+            self.network.join(FAR),
+            lambda: self.far_reaches_store,
+            self.clock,
         )
         self.near.on_rows([self._write(FAR)])
 
@@ -79,7 +82,7 @@
             member.address,
             leaving=False,
             beat=1,
-            gap=GAP.total_seconds(),
+            gap=HEARTBEAT_INTERVAL.total_seconds(),
         )
         return Row(
             members.format_row_key(member), msgspec.json.encode(record), 1
@@ -89,12 +92,12 @@
 async def test_daemon_whose_row_stands_still_is_live() -> None:
     """Guards against deposing owners while a part of the store is away."""
     world = World()
-    await world.pass_time(LONGEST * 4)
+    await world.pass_time(LIVENESS_TIMEOUT * 4)
     assert world.sees_far()
     assert FAR in world.near.list_live()
 
 
-@pytest.mark.parametrize('warm_up', [timedelta(0), LONGEST * 3])
+@pytest.mark.parametrize('warm_up', [timedelta(0), LIVENESS_TIMEOUT * 3])
 async def test_death_is_noticed_as_soon_as_by_the_row(
     warm_up: timedelta,
 ) -> None:
@@ -102,32 +105,32 @@
     world = World()
     await world.pass_time(warm_up)
     world.network.leave(FAR)
-    await world.pass_time(LONGEST + PROBE_INTERVAL)
+    await world.pass_time(LIVENESS_TIMEOUT + PROBE_INTERVAL)
     assert not world.sees_far()
 
 
 async def test_daemon_that_reaches_no_store_is_not_live() -> None:
     """Guards against an owner that answers and can commit nothing."""
     world = World()
-    world.able = False
-    await world.pass_time(LONGEST + PROBE_INTERVAL)
+    world.far_reaches_store = False
+    await world.pass_time(LIVENESS_TIMEOUT + PROBE_INTERVAL)
     assert not world.sees_far()
 
 
 async def test_answer_of_a_later_run_says_nothing_of_the_one_before() -> None:
     """Guards against a restarted daemon that keeps its lost batches."""
     world = World()
-    await world.pass_time(LONGEST / 2)
+    await world.pass_time(LIVENESS_TIMEOUT / 2)
     world.near.on_pong(Member('vm-f', 'vm-f:2', 'hall-f', 'f:1'))
     world.network.leave(FAR)
-    await world.pass_time(LONGEST / 2 + PROBE_INTERVAL)
+    await world.pass_time(LIVENESS_TIMEOUT / 2 + PROBE_INTERVAL)
     assert not world.sees_far()
 
 
 async def test_daemon_that_writes_in_time_is_not_asked() -> None:
     """Guards against messages that grow with the square of the daemons."""
     world = World()
-    await world.pass_time(GAP)
+    await world.pass_time(HEARTBEAT_INTERVAL)
     assert not any(
         topic is Topic.liveness_ping for _, _, topic, _ in world.network.sent
     )
--- a/quetzalcourse/tests/coordination/feeds/readiness_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/readiness_tests.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-QUESTION_GAP = timedelta(milliseconds=250)
+REPORT_INTERVAL = timedelta(milliseconds=250)
 OWN = Member('vm-0', 'vm-0-a', 'hall-a', '10.0.0.1:1')
 NEIGHBOUR = Member('vm-1', 'vm-1-a', 'hall-a', '10.0.0.2:1')
 OUTSIDER = Member('vm-2', 'vm-2-a', 'hall-b', '10.0.1.1:1')
@@ -45,7 +45,7 @@
     """Feed that nobody follows."""
 
 
-class ReachWorld:
+class ReadinessWorld:
     """A daemon whose store has just fallen silent."""
 
     def __init__(self, *others: Member) -> None:
@@ -57,7 +57,7 @@
             self.clock,
             Counters(),
         )
-        self.reach = StoreReadiness(
+        self.readiness = StoreReadiness(
             self.follower, FakeMembers(*others), self.clock
         )
 
@@ -73,33 +73,33 @@
         """
         end = self.clock.elapsed() + duration
         while self.clock.elapsed() < end:
-            self.clock.move(QUESTION_GAP)
+            self.clock.move(REPORT_INTERVAL)
             for member in answering:
-                self.reach.on_report(member, hears_store=hears_store)
-        return self.reach.is_ready()
+                self.readiness.on_report(member, hears_store=hears_store)
+        return self.readiness.is_ready()
 
 
-LONG = PARTITION_TIMEOUT + QUESTION_GAP
+LONGER_THAN_TIMEOUT = PARTITION_TIMEOUT + REPORT_INTERVAL
 
 
 def test_data_centre_that_is_cut_off_sends_callers_elsewhere() -> None:
     # A data centre is cut from the others and from the store; its callers
     # still reach it. Each of their batches would be refused for as long as
     # the cut lasts, though daemons elsewhere could take it.
-    world = ReachWorld(NEIGHBOUR, OUTSIDER)
-    assert not world.pass_time(LONG, NEIGHBOUR)
+    world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
+    assert not world.pass_time(LONGER_THAN_TIMEOUT, NEIGHBOUR)
 
 
 def test_daemon_that_the_store_turns_away_sends_callers_elsewhere() -> None:
     # The store refuses one daemon and serves its neighbours.
-    world = ReachWorld(NEIGHBOUR, OUTSIDER)
-    assert not world.pass_time(LONG, NEIGHBOUR, hears_store=True)
+    world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
+    assert not world.pass_time(LONGER_THAN_TIMEOUT, NEIGHBOUR, hears_store=True)
 
 
 def test_callers_are_served_while_the_store_is_down_for_all() -> None:
     # Were every daemon to say that it is not ready, lookups would fail too.
-    world = ReachWorld(NEIGHBOUR, OUTSIDER)
-    assert world.pass_time(LONG, NEIGHBOUR, OUTSIDER)
+    world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
+    assert world.pass_time(LONGER_THAN_TIMEOUT, NEIGHBOUR, OUTSIDER)
 
 
 @pytest.mark.parametrize('others', [(), (NEIGHBOUR,)])
@@ -108,18 +108,18 @@
 ) -> None:
     # A daemon alone, or with daemons of its own data centre only, has nobody
     # to send its callers to.
-    assert ReachWorld(*others).pass_time(LONG)
+    assert ReadinessWorld(*others).pass_time(LONGER_THAN_TIMEOUT)
 
 
 def test_short_silence_of_the_store_changes_nothing() -> None:
     # A single answer of the store is late or lost.
-    world = ReachWorld(NEIGHBOUR, OUTSIDER)
+    world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     assert world.pass_time(timedelta(seconds=1), NEIGHBOUR, hears_store=True)
 
 
 def test_word_of_others_wears_off() -> None:
     # The others reached the store, and then the store goes down for them
     # too: this daemon is as good as any again.
-    world = ReachWorld(NEIGHBOUR, OUTSIDER)
-    assert not world.pass_time(LONG, OUTSIDER, hears_store=True)
-    assert world.pass_time(LONG, OUTSIDER)
+    world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
+    assert not world.pass_time(LONGER_THAN_TIMEOUT, OUTSIDER, hears_store=True)
+    assert world.pass_time(LONGER_THAN_TIMEOUT, OUTSIDER)
--- a/quetzalcourse/tests/coordination/feeds/store_relay_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/store_relay_tests.py
@@ -9,7 +9,7 @@
 
 from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
 from quetzalcourse.coordination.feeds.store_relay import (
-    MAX_HELPERS,
+    MAX_RELAY_ATTEMPTS,
     StoreRelay,
 )
 from quetzalcourse.state.counters import Counters
@@ -32,33 +32,33 @@
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.feed = FakeFeed(self.clock)
-        self.faulty = {member.vm: False for member in COORDINATORS}
-        self.faulty[CALLER.vm] = True
+        self.refused = {member.vm: False for member in COORDINATORS}
+        self.refused[CALLER.vm] = True
         relays = [self._build(member) for member in COORDINATORS]
-        self.caller, self.helpers = relays[0]
+        self.caller, self.relay_peers = relays[0]
         for other in OTHERS:
-            self.helpers.on_report(other, hears_store=True)
+            self.relay_peers.on_report(other, hears_store=True)
 
-    def turn_away(self, count: int) -> None:
+    def refuse(self, count: int) -> None:
         """Turn some of the others away as well, which nobody knows yet."""
         for other in OTHERS[:count]:
-            self.faulty[other.vm] = True
+            self.refused[other.vm] = True
 
     def _build(self, member: Any) -> tuple[StoreRelay, RelayPeers]:
-        faulty = self.faulty
+        refused = self.refused
 
         class Follower(SimpleNamespace):
             @property
             def store_unavailable(self) -> bool:
-                return faulty[member.vm]
+                return refused[member.vm]
 
         follower: Any = Follower()
-        helpers = RelayPeers(follower, self.clock)
+        relay_peers = RelayPeers(follower, self.clock)
         feed: Any = self.feed
         peers: Any = self.network.join(member)
         tables = ('batches',)
-        relay = StoreRelay(feed, feed, peers, helpers, tables, Counters())
-        return relay, helpers
+        relay = StoreRelay(feed, feed, peers, relay_peers, tables, Counters())
+        return relay, relay_peers
 
 
 @pytest.mark.parametrize('attempt', range(8))
@@ -67,7 +67,7 @@
     # submission at one of them was refused, since the daemon that should
     # pass it on had been turned away as well.
     world = World()
-    world.turn_away(len(OTHERS) - 1)
+    world.refuse(len(OTHERS) - 1)
     answer = await world.caller.transact(WRITE)
     assert answer.unwrap().applied
     assert KEY in world.feed.rows
@@ -76,9 +76,9 @@
 async def test_call_is_given_up_where_nobody_can_help() -> None:
     """Its caller is told that it has not run."""
     world = World()
-    world.turn_away(len(OTHERS))
+    world.refuse(len(OTHERS))
     answer = await world.caller.transact(WRITE)
     assert answer.is_err()
     assert not world.feed.rows
     asked = [sent for sent in world.network.sent if sent[2] == 'store_asked']
-    assert len(asked) <= MAX_HELPERS
+    assert len(asked) <= MAX_RELAY_ATTEMPTS
--- a/quetzalcourse/tests/coordination/feeds/wall_clock_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/wall_clock_tests.py
@@ -28,7 +28,7 @@
         return self._clock.elapsed() + STORE_AHEAD
 
 
-class CalendarWorld:
+class WallClockWorld:
     """One daemon's wall_clock, and what the others told of theirs."""
 
     def __init__(self) -> None:
@@ -39,9 +39,9 @@
         self.true_clock = FakeClock()
         self.store_clock.answered = True
         for vm in VMS:
-            self.tell(vm)
+            self.report_offset(vm)
 
-    def tell(self, vm: str) -> None:
+    def report_offset(self, vm: str) -> None:
         """Let a daemon tell this machine's present difference as its own."""
         offset = self.wall_clock.find_offset()
         assert offset is not None
@@ -52,27 +52,27 @@
     # The wall_clock of one VM jumps ahead by half a minute. Its requests would
     # be counted in windows that the others have not begun, and its reports
     # would close windows that are still open: accounts pay too little.
-    world = CalendarWorld()
+    world = WallClockWorld()
     world.clock.calendar_error = timedelta(seconds=30)
-    world.tell('vm-0')
+    world.report_offset('vm-0')
     assert world.wall_clock.now() == world.true_clock.now()
 
 
 def test_requests_are_counted_in_the_true_window() -> None:
     # The wall_clock jumps back while requests run and forth again later, so
     # the same request would be counted in a window that was reported.
-    world = CalendarWorld()
+    world = WallClockWorld()
     counts = WindowCounts(world.wall_clock, WINDOW, lambda: None)
     counts.record('a')
     world.clock.calendar_error = timedelta(seconds=-20)
     counts.record('a')
-    world.tell('vm-0')
+    world.report_offset('vm-0')
     counts.record('a')
     assert list(counts.describe().values()) == [{'a': 3}]
 
 
 def test_own_calendar_counts_before_the_store_has_answered() -> None:
-    world = CalendarWorld()
+    world = WallClockWorld()
     world.store_clock.answered = False
     world.clock.calendar_error = timedelta(seconds=2)
     assert world.wall_clock.find_offset() is None
@@ -81,8 +81,8 @@
 
 def test_most_calendars_decide() -> None:
     # All VMs were corrected together: their word counts, not the old one.
-    world = CalendarWorld()
+    world = WallClockWorld()
     world.clock.calendar_error = timedelta(seconds=4)
     for vm in VMS[:2]:
-        world.tell(vm)
+        world.report_offset(vm)
     assert world.wall_clock.now() == world.clock.now()
--- a/quetzalcourse/tests/coordination/manifest/keys_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/keys_tests.py
@@ -29,12 +29,14 @@
 from quetzalcourse.tests.tables import FakeStore
 
 SECRET = 'a secret'
-BEARER = f'desk.{SECRET}'
+BEARER_TOKEN = f'desk.{SECRET}'
 GRANT = KeyRecord('desk', 'readers', hash_secret(SECRET))
 MANIFEST_KEYS = [KeyHash('desk', 'readers', hash_secret(SECRET))]
 
 
-def read_code(ring: KeyRing, bearer: str = BEARER) -> RefusalCode | None:
+def find_refusal_code(
+    ring: KeyRing, bearer: str = BEARER_TOKEN
+) -> RefusalCode | None:
     """Tell why a key is refused, ``None`` if it works."""
     answer = ring.authenticate(bearer)
     return answer.err_value.code if isinstance(answer, Err) else None
@@ -61,7 +63,7 @@
             Random(name),
             timedelta(seconds=1),
         )
-        self.spread = KeyGossip(
+        self.gossip = KeyGossip(
             self.ring,
             view,
             cluster.network.join(self.own),
@@ -82,14 +84,14 @@
         self.members: list[Member] = []
         self.nodes = [Node(f'node-{index}', self) for index in range(count)]
 
-    async def beat(self) -> None:
+    async def exchange_heartbeats(self) -> None:
         """Let each node hear a heartbeat of each other."""
         for node in self.nodes:
             for other in self.nodes:
                 if other is not node:
                     self.clock.move(timedelta(seconds=1))
                     digest = Digest(0, other.ring.hash_records())
-                    node.spread.on_digest(other.own, digest)
+                    node.gossip.on_digest(other.own, digest)
                     await settle()
 
 
@@ -108,16 +110,16 @@
     for record in records:
         ring.merge(record)
     ring.replace_grants(MANIFEST_KEYS)
-    assert read_code(ring) is RefusalCode.key_withdrawn
+    assert find_refusal_code(ring) is RefusalCode.key_withdrawn
     assert ring.is_withdrawn('desk')
 
 
 def test_grant_outside_the_manifest_works() -> None:
     ring = KeyRing()
     ring.merge(GRANT)
-    assert ring.authenticate(BEARER).unwrap().client_account == 'readers'
-    assert read_code(ring, 'desk.other') is RefusalCode.unauthenticated
-    assert read_code(ring, 'desk') is RefusalCode.unauthenticated
+    assert ring.authenticate(BEARER_TOKEN).unwrap().client_account == 'readers'
+    assert find_refusal_code(ring, 'desk.other') is RefusalCode.unauthenticated
+    assert find_refusal_code(ring, 'desk') is RefusalCode.unauthenticated
 
 
 def test_key_removed_from_the_manifest_ends() -> None:
@@ -132,7 +134,7 @@
         ring.replace_grants([])
         assert withdrawn.is_set()
     assert ended == ['desk']
-    assert read_code(ring) is RefusalCode.unauthenticated
+    assert find_refusal_code(ring) is RefusalCode.unauthenticated
 
 
 @pytest.mark.parametrize(
@@ -156,7 +158,7 @@
     cluster.store.down = True
     cluster.clock.move(timedelta(seconds=waited))
     await node.follower.poll()
-    assert read_code(node.ring) is code
+    assert find_refusal_code(node.ring) is code
     assert node.follower.unreachable_since is not None
 
 
@@ -181,18 +183,18 @@
     (await table.append(GRANT)).unwrap()
     for node in cluster.nodes:
         await node.follower.poll()
-        assert read_code(node.ring) is None
+        assert find_refusal_code(node.ring) is None
     cluster.store.down = True
     cluster.nodes[0].ring.withdraw('desk')
     await settle()
-    await cluster.beat()
+    await cluster.exchange_heartbeats()
     for node in cluster.nodes:
-        assert read_code(node.ring) is RefusalCode.key_withdrawn
+        assert find_refusal_code(node.ring) is RefusalCode.key_withdrawn
     cluster.store.down = False
     await cluster.nodes[3].follower.poll()
     started = Node('node-new', cluster)
     await started.follower.poll()
-    assert read_code(started.ring) is RefusalCode.key_withdrawn
+    assert find_refusal_code(started.ring) is RefusalCode.key_withdrawn
     for node in cluster.nodes[:3]:
         await node.follower.poll()
     assert (await table.read_after(0)).unwrap()[0] == 2
@@ -236,7 +238,7 @@
             node.ring.merge(bury(f'key-{number}'), notify=False)
     one.ring.merge(bury('missed'), notify=False)
     cluster.network.sent.clear()
-    await cluster.beat()
+    await cluster.exchange_heartbeats()
     assert other.ring.is_withdrawn('missed')
     assert other.ring.hash_records() == one.ring.hash_records()
     sent = sum(size for *_, topic, size in cluster.network.sent)
--- a/quetzalcourse/tests/coordination/manifest/manifest_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/manifest_tests.py
@@ -74,12 +74,14 @@
         """Join the network."""
         self.own = Member('vm', name, 'lac-hall', name)
         members.append(self.own)
-        self.keeper = ManifestStore(store, store)
+        self.manifest_store = ManifestStore(store, store)
         self.seen: list[int] = []
-        self.keeper.on_manifest(lambda new: self.seen.append(new.version))
+        self.manifest_store.on_manifest(
+            lambda new: self.seen.append(new.version)
+        )
         self.counters = Counters()
-        self.spread = ManifestGossip(
-            self.keeper,
+        self.gossip = ManifestGossip(
+            self.manifest_store,
             FakeMembers(self.own, members),
             network.join(self.own),
             clock,
@@ -90,7 +92,7 @@
     @property
     def digest(self) -> Digest:
         """What the node's heartbeats say."""
-        return Digest(self.keeper.current.version)
+        return Digest(self.manifest_store.current.version)
 
 
 class Group:
@@ -108,13 +110,13 @@
         """Start one more."""
         return Node(name, self.store, self.network, self.clock, self.members)
 
-    async def beat(self) -> None:
+    async def exchange_heartbeats(self) -> None:
         """Let each node hear a heartbeat of each other."""
         self.clock.move(timedelta(seconds=1))
         for node in self.nodes:
             for other in self.nodes:
                 if other is not node:
-                    node.spread.on_digest(other.own, other.digest)
+                    node.gossip.on_digest(other.own, other.digest)
         await settle()
 
 
@@ -147,12 +149,12 @@
     # The table's answer to the swap is lost. The operator is told what truly
     # happened, and asking again ends with the manifest accepted once.
     store = FakeStore()
-    keeper = ManifestStore(store, store)
+    manifest_store = ManifestStore(store, store)
     store.write_faults.append(fault)
     manifest = make_manifest(1.0)
-    assert isinstance(await keeper.accept(manifest, 0), kind)
-    assert (await keeper.accept(manifest, 0)).unwrap() == 1
-    assert (await keeper.refresh()).unwrap() == 1
+    assert isinstance(await manifest_store.accept(manifest, 0), kind)
+    assert (await manifest_store.accept(manifest, 0)).unwrap() == 1
+    assert (await manifest_store.refresh()).unwrap() == 1
 
 
 async def test_asking_again_below_a_newer_version() -> None:
@@ -160,26 +162,26 @@
     # on top of it. Asking again for version 1 must neither undo version 2
     # nor claim that version 1 had lost.
     store = FakeStore()
-    keeper = ManifestStore(store, store)
+    manifest_store = ManifestStore(store, store)
     first, second = make_manifest(1.0), make_manifest(2.0)
-    (await keeper.accept(first, 0)).unwrap()
-    (await keeper.accept(second, 1)).unwrap()
-    assert (await keeper.accept(first, 0)).unwrap() == 1
-    await keeper.refresh()
-    assert keeper.current == replace(second, version=2)
+    (await manifest_store.accept(first, 0)).unwrap()
+    (await manifest_store.accept(second, 1)).unwrap()
+    assert (await manifest_store.accept(first, 0)).unwrap() == 1
+    await manifest_store.refresh()
+    assert manifest_store.current == replace(second, version=2)
 
 
 async def test_operators_race() -> None:
     # Two operators replace the same version. One wins; the other is told
     # the version that won, and the winner's content is in force.
     store = FakeStore()
-    keeper = ManifestStore(store, store)
+    manifest_store = ManifestStore(store, store)
     winner, loser = make_manifest(1.0), make_manifest(2.0)
-    (await keeper.accept(winner, 0)).unwrap()
-    lost = await keeper.accept(loser, 0)
+    (await manifest_store.accept(winner, 0)).unwrap()
+    lost = await manifest_store.accept(loser, 0)
     assert lost == Err(ManifestConflict(1))
-    await keeper.refresh()
-    assert keeper.current.client_accounts == winner.client_accounts
+    await manifest_store.refresh()
+    assert manifest_store.current.client_accounts == winner.client_accounts
 
 
 @pytest.mark.parametrize(
@@ -190,45 +192,45 @@
     # The row that names the version holds bytes that nobody understands. The
     # daemon says so and goes on with what it has.
     store = FakeStore()
-    keeper = ManifestStore(store, store)
-    (await keeper.accept(make_manifest(1.0), 0)).unwrap()
-    await keeper.refresh()
+    manifest_store = ManifestStore(store, store)
+    (await manifest_store.accept(make_manifest(1.0), 0)).unwrap()
+    await manifest_store.refresh()
     await store.transact(Transaction((), (Write(MANIFEST_KEY, content),)))
-    refreshed = await keeper.refresh()
+    refreshed = await manifest_store.refresh()
     assert isinstance(refreshed, Err)
     assert isinstance(refreshed.err_value, StoreFault)
-    assert keeper.current.version == 1
+    assert manifest_store.current.version == 1
 
 
 @pytest.mark.parametrize('content', [b'', b'{"desk":1}', None])
 async def test_damaged_section_changes_nothing(content: bytes | None) -> None:
     # An object is missing, or is not what its name says.
     store = FakeStore()
-    keeper = ManifestStore(store, store)
-    (await keeper.accept(make_manifest(1.0), 0)).unwrap()
+    manifest_store = ManifestStore(store, store)
+    (await manifest_store.accept(make_manifest(1.0), 0)).unwrap()
     name = hash_content(split_sections(make_manifest(1.0))['client_accounts'])
     store.objects.pop(name)
     if content is not None:
         store.objects[name] = content
-    assert isinstance(await keeper.refresh(), Err)
-    assert keeper.current.version == 0
+    assert isinstance(await manifest_store.refresh(), Err)
+    assert manifest_store.current.version == 0
 
 
 async def test_change_travels_without_the_store() -> None:
     # One daemon has read a new version; all others have lost the store. They
     # have it after a few heartbeats, and only the changed section moved.
     group = Group(6)
-    keeper = group.nodes[0].keeper
-    (await keeper.accept(make_manifest(1.0, 300), 0)).unwrap()
+    manifest_store = group.nodes[0].manifest_store
+    (await manifest_store.accept(make_manifest(1.0, 300), 0)).unwrap()
     for node in group.nodes:
-        await node.keeper.refresh()
-    (await keeper.accept(make_manifest(2.0, 300), 1)).unwrap()
-    await keeper.refresh()
+        await node.manifest_store.refresh()
+    (await manifest_store.accept(make_manifest(2.0, 300), 1)).unwrap()
+    await manifest_store.refresh()
     group.store.down = True
     group.network.sent.clear()
     for _ in range(3):
-        await group.beat()
-    assert {node.keeper.current.version for node in group.nodes} == {2}
+        await group.exchange_heartbeats()
+    assert {node.manifest_store.current.version for node in group.nodes} == {2}
     assert all(node.seen == [1, 2] for node in group.nodes)
     sent = sum(size for *_, topic, size in group.network.sent)
     whole = sum(map(len, split_sections(make_manifest(2.0, 300)).values()))
@@ -239,16 +241,16 @@
     # A VM is replaced while the store is down, and the first daemon that it
     # hears lags behind. It must begin with the newest version around.
     group = Group(3)
-    keeper = group.nodes[0].keeper
+    manifest_store = group.nodes[0].manifest_store
     for version, lagging in enumerate(group.nodes):
         manifest = make_manifest(version + 1.0)
-        (await keeper.accept(manifest, version)).unwrap()
-        await lagging.keeper.refresh()
+        (await manifest_store.accept(manifest, version)).unwrap()
+        await lagging.manifest_store.refresh()
     group.store.down = True
     started = group.add('node-new')
     for delay, other in enumerate((*group.nodes, group.nodes[0])):
         group.clock.move(timedelta(seconds=delay / 2))
-        started.spread.on_digest(other.own, other.digest)
+        started.gossip.on_digest(other.own, other.digest)
         await settle()
     assert started.seen == [3]
 
@@ -275,7 +277,7 @@
         super().__init__()
         self.heads: list[tuple] = []
         store = FakeStore()
-        self.keepers = [ManifestStore(store, store) for _ in range(3)]
+        self.manifest_stores = [ManifestStore(store, store) for _ in range(3)]
         self.highest = [0, 0, 0]
         self.accepted: dict[int, Manifest] = {}
 
@@ -300,24 +302,24 @@
         head, contents = self.heads[which % len(self.heads)]
         if damaged:
             contents = {name: body + b' ' for name, body in contents.items()}
-        self.keepers[who].apply(head, contents)
+        self.manifest_stores[who].apply(head, contents)
 
     @rule(who=sampled_from([0, 1, 2]))
     def restart(self, who: int) -> None:
         """A daemon is replaced and begins with nothing."""
         store = FakeStore()
-        self.keepers[who] = ManifestStore(store, store)
+        self.manifest_stores[who] = ManifestStore(store, store)
         self.highest[who] = 0
 
     @invariant()
     def goes_up_with_true_content(self) -> None:
         """No version falls, and each is what was accepted."""
-        for who, keeper in enumerate(self.keepers):
-            version = keeper.current.version
+        for who, manifest_store in enumerate(self.manifest_stores):
+            version = manifest_store.current.version
             assert version >= self.highest[who]
             self.highest[who] = version
             if version:
-                assert keeper.current == self.accepted[version]
+                assert manifest_store.current == self.accepted[version]
 
 
 NeverReverts.TestCase.settings = settings(
--- a/quetzalcourse/tests/coordination/membership/membership_tests.py
+++ b/quetzalcourse/tests/coordination/membership/membership_tests.py
@@ -17,7 +17,7 @@
 from quetzalcourse.tests.peers import FakeNetwork
 
 TICK = timedelta(milliseconds=500)
-CENTRES = ('lac-hall', 'medina-hall')
+DATA_CENTRES = ('lac-hall', 'medina-hall')
 
 
 class Cluster:
@@ -33,14 +33,14 @@
         self.counters = Counters()
         self.daemons: list[Membership] = []
         self.paused: set[int] = set()
-        self.most_lost = 0
+        self.largest_difference = 0
         for index in range(count):
             self.add(f'vm-{index}', f'10.0.0.{index}:7000', index)
 
     def add(self, incarnation: str, address: str, index: int) -> Membership:
         """Start one more daemon."""
-        centre = CENTRES[index % len(CENTRES)]
-        own = Member(f'vm-{index}', incarnation, centre, address)
+        data_centre = DATA_CENTRES[index % len(DATA_CENTRES)]
+        own = Member(f'vm-{index}', incarnation, data_centre, address)
         self.network.join(own)
         peers = AddressedPeers(self.network, own)
         daemon = Membership(
@@ -68,7 +68,9 @@
                 for index, daemon in enumerate(self.daemons)
                 if index not in self.paused
             ]
-            self.most_lost = max(self.most_lost, max(lists) - min(lists))
+            self.largest_difference = max(
+                self.largest_difference, max(lists) - min(lists)
+            )
 
     def count_live(self) -> list[int]:
         """Tell how many daemons each one counts as live."""
@@ -108,7 +110,7 @@
     cluster = Cluster(count)
     await cluster.run(30)
     assert cluster.count_live() == [count] * count
-    cluster.most_lost = 0
+    cluster.largest_difference = 0
     return cluster
 
 
@@ -138,7 +140,7 @@
         cluster.paused = set()
         await cluster.run(6)
     assert cluster.count_live() == [8] * 8
-    assert cluster.most_lost == 0
+    assert cluster.largest_difference == 0
 
 
 async def test_pause_of_all_but_one_evicts_nobody() -> None:
@@ -148,7 +150,7 @@
     cluster.clock.move(timedelta(seconds=60))
     await cluster.run(10)
     assert cluster.count_live() == [6] * 6
-    assert cluster.most_lost == 0
+    assert cluster.largest_difference == 0
 
 
 async def test_one_way_cut_evicts_nobody() -> None:
@@ -159,7 +161,7 @@
     cluster.network.cut(first, second)
     await cluster.run(60)
     assert cluster.count_live() == [6] * 6
-    assert cluster.most_lost == 0
+    assert cluster.largest_difference == 0
 
 
 async def test_partition_heals() -> None:
@@ -176,11 +178,11 @@
     assert cluster.count_live() == [4] * 8
     cluster.network.heal()
     await cluster.run(5)
-    near = [
+    local = [
         len(daemon.list_live(daemon.own.data_centre))
         for daemon in cluster.daemons
     ]
-    assert near == [4] * 8
+    assert local == [4] * 8
     await cluster.run(40)
     assert cluster.count_live() == [8] * 8
 
@@ -223,16 +225,16 @@
     # A daemon that stops gracefully says so first, so that its work moves
     # before it ends, and leaves the lists without any suspicion.
     cluster = await start(6)
-    leaver = cluster.daemons[1]
-    leaver.announce_leaving()
+    leaving_daemon = cluster.daemons[1]
+    leaving_daemon.announce_leaving()
     await cluster.run(8)
     for daemon in cluster.daemons:
         held = {member.vm: member for member in daemon.list_live()}
         assert held['vm-1'].leaving
     before = cluster.counters.read('suspicions')
-    leaver.announce_gone()
+    leaving_daemon.announce_gone()
     await settle()
-    cluster.network.leave(leaver.own)
+    cluster.network.leave(leaving_daemon.own)
     cluster.paused.add(1)
     await cluster.run(1)
     told = [
