--- a/quetzalcourse/application.py
+++ b/quetzalcourse/application.py
@@ -16,11 +16,11 @@
     HumanRequestTracker,
 )
 from quetzalcourse.coordination.manifest.keys import KeyRing
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
 from quetzalcourse.coordination.service_levels.service_levels import (
     ServiceLevelTracker,
 )
-from quetzalcourse.coordination.membership.status import StatusBoard
+from quetzalcourse.coordination.membership.status import StatusRegistry
 from quetzalcourse.coordination.steps.step_assembly import build_step_service
 from quetzalcourse.incarnation import name_incarnation
 from quetzalcourse.lifecycle import Lifecycle
@@ -73,7 +73,7 @@
         self._listener = open_listener(settings.listen.callers)
         self.address = read_address(self._listener)
         self.lifecycle = Lifecycle(self.clock, self.counters)
-        self.status = StatusBoard()
+        self.status = StatusRegistry()
         self.peering = Peering(
             settings, self.incarnation, self.clock, self.counters
         )
@@ -151,7 +151,7 @@
             self._session, platform.address, platform.timeout_seconds
         )
         self.keys = KeyRing()
-        self.manifest = ManifestKeeper(self.platform, self.platform)
+        self.manifest = ManifestStore(self.platform, self.platform)
         self.slots = SlotParts(
             self.members,
             self.peers,
--- a/quetzalcourse/coordination/feeds/relay.py
+++ b/quetzalcourse/coordination/feeds/feed_relay.py
@@ -23,8 +23,8 @@
     from collections.abc import Iterable
 
     from quetzalcourse.coordination.feeds.follower import TableFollower
-    from quetzalcourse.coordination.feeds.store_helpers import StoreHelpers
-    from quetzalcourse.coordination.feeds.reach import StoreReach
+    from quetzalcourse.coordination.feeds.relay_peers import RelayPeers
+    from quetzalcourse.coordination.feeds.readiness import StoreReadiness
     from quetzalcourse.coordination.ports import MemberView, Peers
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -32,8 +32,8 @@
 
 # With three asked at a time, one that is itself turned away, or was killed,
 # costs no more than the next tick.
-ASKED = 3
-TICK = timedelta(milliseconds=250)
+PEERS_PER_REQUEST = 3
+REQUEST_INTERVAL = timedelta(milliseconds=250)
 log = get_log('relay')
 
 
@@ -76,8 +76,8 @@
     """Asks and answers for the rows of some tables.
 
     :param followers: follow the tables that are asked for.
-    :param reach: learns from every answer who reaches the store.
-    :param helpers: learns it too, and wakes to ask at once.
+    :param readiness: learns from every answer who reaches the store.
+    :param relay_peers: learns it too, and wakes to ask at once.
     """
 
     def __init__(
@@ -85,8 +85,8 @@
         followers: Iterable[TableFollower],
         peers: Peers,
         members: MemberView,
-        reach: StoreReach,
-        helpers: StoreHelpers,
+        readiness: StoreReadiness,
+        relay_peers: RelayPeers,
         clock: Clock,
         counters: Counters,
     ) -> None:
@@ -94,22 +94,25 @@
         self._followers = {one.table: one for one in followers}
         self._peers = peers
         self._members = members
-        self._reach = reach
-        self._helpers = helpers
+        self._readiness = readiness
+        self._relay_peers = relay_peers
         self._clock = clock
         self._counters = counters
         self._random = random.Random()
         peers.subscribe(Topic.rows_asked, self.on_request)
-        peers.subscribe(Topic.rows_told, self.on_message)
+        peers.subscribe(Topic.rows_told, self.on_update)
 
     async def run(self) -> None:
         """Ask while the store does not answer, until cancelled."""
         while True:
             for follower in self._followers.values():
-                if follower.faulty or self._helpers.asked.is_set():
-                    self._ask(follower)
-            self._helpers.asked.clear()
-            await wait_event(self._helpers.asked, TICK)
+                if (
+                    follower.store_unavailable
+                    or self._relay_peers.report_request.is_set()
+                ):
+                    self._request_rows(follower)
+            self._relay_peers.report_request.clear()
+            await wait_event(self._relay_peers.report_request, REQUEST_INTERVAL)
 
     def on_request(self, sender: Member, content: bytes) -> None:
         """Answer a daemon with what it does not know.
@@ -122,10 +125,10 @@
             return
         update = RowsUpdate(
             request.table,
-            follower.newest,
+            follower.newest_version,
             [],
             [],
-            hears_store=follower.loaded and not follower.faulty,
+            hears_store=follower.loaded and not follower.store_unavailable,
         )
         if update.hears_store and update.newest > request.newest:
             update.rows.extend(_list_newer(follower, request.newest))
@@ -134,16 +137,20 @@
             sender, Topic.rows_told, msgspec.msgpack.encode(update)
         )
 
-    def on_message(self, sender: Member, content: bytes) -> None:
+    def on_update(self, sender: Member, content: bytes) -> None:
         """Take rows that another daemon knows."""
         update = msgspec.msgpack.decode(content, type=RowsUpdate)
-        self._reach.on_report(sender, hears_store=update.hears_store)
-        self._helpers.on_report(sender, hears_store=update.hears_store)
+        self._readiness.on_report(sender, hears_store=update.hears_store)
+        self._relay_peers.on_report(sender, hears_store=update.hears_store)
         follower = self._followers.get(update.table)
-        if follower is None or not follower.faulty or not update.rows:
+        if (
+            follower is None
+            or not follower.store_unavailable
+            or not update.rows
+        ):
             return
         present = set(update.keys)
-        gone = [
+        deleted = [
             Row(key, b'', update.newest, removed=True)
             for key in follower.rows
             if key not in present
@@ -157,18 +164,18 @@
             rows=len(rows),
             newest=update.newest,
         )
-        follower.adopt([*rows, *gone])
+        follower.apply_rows([*rows, *deleted])
 
-    def _ask(self, follower: TableFollower) -> None:
+    def _request_rows(self, follower: TableFollower) -> None:
         own = self._members.own
         others = [
             member
             for member in self._members.list_live()
             if member.vm != own.vm
         ]
-        request = RowsRequest(follower.table, follower.newest)
+        request = RowsRequest(follower.table, follower.newest_version)
         content = msgspec.msgpack.encode(request)
-        count = min(ASKED, len(others))
+        count = min(PEERS_PER_REQUEST, len(others))
         for member in self._random.sample(others, count):
             self._peers.send(member, Topic.rows_asked, content)
 
--- a/quetzalcourse/coordination/feeds/heartbeats.py
+++ b/quetzalcourse/coordination/feeds/heartbeats.py
@@ -19,10 +19,10 @@
 # Missed heartbeats, and the time of a slow write, after which a daemon counts
 # as gone.
 MAX_MISSED_HEARTBEATS = 2
-SLOW_WRITE = timedelta(seconds=0.4)
+WRITE_LATENCY_MARGIN = timedelta(seconds=0.4)
 
 
-def find_gap(daemons: int, *, urgent: bool) -> timedelta:
+def choose_heartbeat_interval(daemons: int, *, urgent: bool) -> timedelta:
     """Tell how soon a daemon heartbeats again.
 
     :param daemons: how many share the store.
@@ -35,11 +35,16 @@
     )
 
 
-def find_longest_silence(gap: timedelta, read_gap: timedelta) -> timedelta:
+def find_liveness_timeout(
+    interval: timedelta, read_interval: timedelta
+) -> timedelta:
     """Tell after which silence a daemon counts as gone.
 
-    :param gap: how soon it promised its next heartbeat.
-    :param read_gap: time between two reads of its row; a heartbeat may stand in
-        the store for as long without being seen.
+    :param interval: how soon it promised its next heartbeat.
+    :param read_interval: time between two reads of its row; a heartbeat may
+        stand in the store for as long without being seen.
     """
-    return max(gap * MAX_MISSED_HEARTBEATS, gap + read_gap) + SLOW_WRITE
+    return (
+        max(interval * MAX_MISSED_HEARTBEATS, interval + read_interval)
+        + WRITE_LATENCY_MARGIN
+    )
--- a/quetzalcourse/coordination/manifest/key_spread.py
+++ b/quetzalcourse/coordination/manifest/key_gossip.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from quetzalcourse.coordination.manifest.receivers import choose_receivers
+from quetzalcourse.coordination.manifest.gossip_peers import choose_gossip_peers
 from quetzalcourse.state.members import Member, Topic
 from quetzalcourse.state.spread import KeyNews, SpreadKind
 
@@ -21,11 +21,11 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.keys import KeyRecord
 
-ASK_AGAIN = timedelta(seconds=1)
+REQUEST_INTERVAL = timedelta(seconds=1)
 RECORDS_PER_MESSAGE = 200
 
 
-class KeySpread:
+class KeyGossip:
     """Passes key changes on, and compares what others know.
 
     :param ring: holds the keys.
@@ -47,23 +47,23 @@
         self._clock = clock
         self._random = random
         self._counters = counters
-        self._asked = clock.elapsed() - ASK_AGAIN
+        self._requested_at = clock.elapsed() - REQUEST_INTERVAL
         peers.subscribe(Topic.keys, self._receive)
-        ring.on_record(self._pass_on)
+        ring.on_record(self._broadcast)
 
     def on_digest(self, sender: Member, digest: Digest) -> None:
         """Ask a daemon that knows other records for the difference."""
         now = self._clock.elapsed()
         if digest.keys == self._ring.hash_records():
             return
-        if now - self._asked >= ASK_AGAIN:
-            self._asked = now
+        if now - self._requested_at >= REQUEST_INTERVAL:
+            self._requested_at = now
             news = KeyNews(SpreadKind.ask, buckets=self._ring.buckets)
             self._send(sender, news)
 
-    def _pass_on(self, record: KeyRecord) -> None:
+    def _broadcast(self, record: KeyRecord) -> None:
         news = KeyNews(SpreadKind.contents, records=[record])
-        for member in choose_receivers(self._members, self._random):
+        for member in choose_gossip_peers(self._members, self._random):
             self._send(member, news)
 
     def _receive(self, sender: Member, content: bytes) -> None:
@@ -76,11 +76,11 @@
         # difference to one daemon, which the others compare for themselves.
         fresh = len(news.records) == 1
         for record in news.records:
-            self._ring.merge(record, tell=fresh)
+            self._ring.merge(record, notify=fresh)
         if news.kind is SpreadKind.ask:
-            self._answer(sender, news.buckets)
+            self._send_difference(sender, news.buckets)
 
-    def _answer(self, receiver: Member, buckets: list[int]) -> None:
+    def _send_difference(self, receiver: Member, buckets: list[int]) -> None:
         if len(buckets) != len(self._ring.buckets):
             return
         different = self._ring.list_different(buckets)
--- a/quetzalcourse/coordination/manifest/sections.py
+++ b/quetzalcourse/coordination/manifest/sections.py
@@ -28,7 +28,7 @@
 PART_SEPARATOR = '/'
 ENTRIES_PER_PART = 32
 HASH_LENGTH = 32
-ACCEPTED_KEPT = 32
+MAX_ACCEPTED_VERSIONS = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,18 +50,18 @@
         """Name the content, whatever its version."""
         return hash_content(msgspec.json.encode(self.sections, order='sorted'))
 
-    def includes(self, other: ManifestHead) -> bool:
+    def has_accepted(self, other: ManifestHead) -> bool:
         """Tell whether another head is this one or was accepted before."""
         return self.accepted.get(other.version) == other.fingerprint()
 
-    def precede(self, sections: dict[str, str]) -> ManifestHead:
+    def make_successor(self, sections: dict[str, str]) -> ManifestHead:
         """Make the head of the next version.
 
         :param sections: content hashes of the next version.
         """
         following = ManifestHead(self.version + 1, sections)
         accepted = self.accepted | {following.version: following.fingerprint()}
-        oldest = following.version - ACCEPTED_KEPT
+        oldest = following.version - MAX_ACCEPTED_VERSIONS
         kept = {
             version: fingerprint
             for version, fingerprint in accepted.items()
--- a/quetzalcourse/tests/coordination/manifest/keys_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/keys_tests.py
@@ -12,12 +12,12 @@
 from hypothesis.strategies import booleans, integers
 from result import Err, Ok
 
-from quetzalcourse.coordination.manifest.following import StoreFollower
-from quetzalcourse.coordination.manifest.key_spread import KeySpread
-from quetzalcourse.coordination.manifest.key_table import KeyTable
+from quetzalcourse.coordination.manifest.store_poller import StorePoller
+from quetzalcourse.coordination.manifest.key_gossip import KeyGossip
+from quetzalcourse.coordination.manifest.key_change_log import KeyChangeLog
 from quetzalcourse.coordination.manifest.keys import KeyRing, hash_secret
-from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
-from quetzalcourse.coordination.membership.cuts import News
+from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
+from quetzalcourse.coordination.membership.partitions import StoreFreshness
 from quetzalcourse.coordination.membership.membership import Digest
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.keys import KeyRecord, bury
@@ -29,12 +29,14 @@
 from quetzalcourse.tests.tables import FakeStore
 
 SECRET = 'a secret'
-BEARER = f'desk.{SECRET}'
+BEARER_TOKEN = f'desk.{SECRET}'
 GRANT = KeyRecord('desk', 'readers', hash_secret(SECRET))
 MANIFEST_KEYS = [KeyHash('desk', 'readers', hash_secret(SECRET))]
 
 
-def read_code(ring: KeyRing, bearer: str = BEARER) -> RefusalCode | None:
+def find_refusal_code(
+    ring: KeyRing, bearer: str = BEARER_TOKEN
+) -> RefusalCode | None:
     """Tell why a key is refused, ``None`` if it works."""
     answer = ring.authenticate(bearer)
     return answer.err_value.code if isinstance(answer, Err) else None
@@ -51,17 +53,17 @@
         self.ring = KeyRing()
         self.counters = Counters()
         store = cluster.store
-        self.follower = StoreFollower(
+        self.follower = StorePoller(
             store,
-            ManifestKeeper(store, store),
-            KeyTable(store),
+            ManifestStore(store, store),
+            KeyChangeLog(store),
             self.ring,
             view,
             cluster.clock,
             Random(name),
             timedelta(seconds=1),
         )
-        self.spread = KeySpread(
+        self.gossip = KeyGossip(
             self.ring,
             view,
             cluster.network.join(self.own),
@@ -82,14 +84,14 @@
         self.members: list[Member] = []
         self.nodes = [Node(f'node-{index}', self) for index in range(count)]
 
-    async def beat(self) -> None:
+    async def exchange_heartbeats(self) -> None:
         """Let each node hear a heartbeat of each other."""
         for node in self.nodes:
             for other in self.nodes:
                 if other is not node:
                     self.clock.move(timedelta(seconds=1))
                     digest = Digest(0, other.ring.hash_records())
-                    node.spread.on_digest(other.own, digest)
+                    node.gossip.on_digest(other.own, digest)
                     await settle()
 
 
@@ -108,16 +110,16 @@
     for record in records:
         ring.merge(record)
     ring.replace_grants(MANIFEST_KEYS)
-    assert read_code(ring) is RefusalCode.key_withdrawn
+    assert find_refusal_code(ring) is RefusalCode.key_withdrawn
     assert ring.is_withdrawn('desk')
 
 
 def test_grant_outside_the_manifest_works() -> None:
     ring = KeyRing()
     ring.merge(GRANT)
-    assert ring.authenticate(BEARER).unwrap().client_account == 'readers'
-    assert read_code(ring, 'desk.other') is RefusalCode.unauthenticated
-    assert read_code(ring, 'desk') is RefusalCode.unauthenticated
+    assert ring.authenticate(BEARER_TOKEN).unwrap().client_account == 'readers'
+    assert find_refusal_code(ring, 'desk.other') is RefusalCode.unauthenticated
+    assert find_refusal_code(ring, 'desk') is RefusalCode.unauthenticated
 
 
 def test_key_removed_from_the_manifest_ends() -> None:
@@ -132,7 +134,7 @@
         ring.replace_grants([])
         assert withdrawn.is_set()
     assert ended == ['desk']
-    assert read_code(ring) is RefusalCode.unauthenticated
+    assert find_refusal_code(ring) is RefusalCode.unauthenticated
 
 
 @pytest.mark.parametrize(
@@ -148,7 +150,7 @@
     # after a while is the operators' choice.
     cluster = Cluster(1)
     node = cluster.nodes[0]
-    news = News(node.follower, cluster.clock)
+    news = StoreFreshness(node.follower, cluster.clock)
     limit = timedelta(seconds=longest) if longest else None
     node.ring.is_current = lambda: news.is_current(limit)
     node.ring.merge(GRANT)
@@ -156,20 +158,20 @@
     cluster.store.down = True
     cluster.clock.move(timedelta(seconds=waited))
     await node.follower.poll()
-    assert read_code(node.ring) is code
-    assert node.follower.cut_since is not None
+    assert find_refusal_code(node.ring) is code
+    assert node.follower.unreachable_since is not None
 
 
 async def test_news_of_others_counts() -> None:
     # Of many daemons each reads the store rarely; the age of the newest word
     # travels with the heartbeats, or idle readers would refuse for nothing.
     cluster = Cluster(1)
-    news = News(cluster.nodes[0].follower, cluster.clock)
-    assert news.tell_age() is None
+    news = StoreFreshness(cluster.nodes[0].follower, cluster.clock)
+    assert news.find_age() is None
     news.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=5)))
     news.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=9)))
     cluster.clock.move(timedelta(seconds=2))
-    assert news.tell_age() == timedelta(seconds=7)
+    assert news.find_age() == timedelta(seconds=7)
 
 
 async def test_withdrawal_spreads_in_a_cut_and_reaches_the_table() -> None:
@@ -177,22 +179,22 @@
     # daemon; the others must know within heartbeats, and the table must
     # have it after the cut, also if that first daemon is gone by then.
     cluster = Cluster(4)
-    table = KeyTable(cluster.store)
+    table = KeyChangeLog(cluster.store)
     (await table.append(GRANT)).unwrap()
     for node in cluster.nodes:
         await node.follower.poll()
-        assert read_code(node.ring) is None
+        assert find_refusal_code(node.ring) is None
     cluster.store.down = True
     cluster.nodes[0].ring.withdraw('desk')
     await settle()
-    await cluster.beat()
+    await cluster.exchange_heartbeats()
     for node in cluster.nodes:
-        assert read_code(node.ring) is RefusalCode.key_withdrawn
+        assert find_refusal_code(node.ring) is RefusalCode.key_withdrawn
     cluster.store.down = False
     await cluster.nodes[3].follower.poll()
     started = Node('node-new', cluster)
     await started.follower.poll()
-    assert read_code(started.ring) is RefusalCode.key_withdrawn
+    assert find_refusal_code(started.ring) is RefusalCode.key_withdrawn
     for node in cluster.nodes[:3]:
         await node.follower.poll()
     assert (await table.read_after(0)).unwrap()[0] == 2
@@ -210,14 +212,14 @@
     assert node.follower.list_unstored() == [bury('desk')]
     await node.follower.poll()
     assert node.follower.list_unstored() == []
-    _, records = (await KeyTable(cluster.store).read_after(0)).unwrap()
+    _, records = (await KeyChangeLog(cluster.store).read_after(0)).unwrap()
     assert set(records) == {bury('desk')}
 
 
 async def test_operators_append_at_once() -> None:
     # Two operators change keys at the same moment; neither change is lost.
     store = FakeStore()
-    first, second = KeyTable(store), KeyTable(store)
+    first, second = KeyChangeLog(store), KeyChangeLog(store)
     for number in range(5):
         assert isinstance(await first.append(bury(f'a-{number}')), Ok)
         assert isinstance(await second.append(bury(f'b-{number}')), Ok)
@@ -233,10 +235,10 @@
     one, other = cluster.nodes
     for number in range(2000):
         for node in cluster.nodes:
-            node.ring.merge(bury(f'key-{number}'), tell=False)
-    one.ring.merge(bury('missed'), tell=False)
+            node.ring.merge(bury(f'key-{number}'), notify=False)
+    one.ring.merge(bury('missed'), notify=False)
     cluster.network.sent.clear()
-    await cluster.beat()
+    await cluster.exchange_heartbeats()
     assert other.ring.is_withdrawn('missed')
     assert other.ring.hash_records() == one.ring.hash_records()
     sent = sum(size for *_, topic, size in cluster.network.sent)
--- a/quetzalcourse/transport/callers.py
+++ b/quetzalcourse/transport/callers.py
@@ -36,7 +36,7 @@
     )
     from quetzalcourse.coordination.requests.idempotency import IdempotencyStore
     from quetzalcourse.coordination.manifest.keys import Identity, KeyRing
-    from quetzalcourse.coordination.manifest.manifest import ManifestKeeper
+    from quetzalcourse.coordination.manifest.manifest_store import ManifestStore
     from quetzalcourse.coordination.routing.routing import Router
     from quetzalcourse.coordination.service_levels.service_levels import (
         ServiceLevelTracker,
@@ -44,7 +44,7 @@
     from quetzalcourse.coordination.requests.service_dispatcher import (
         ServiceDispatcher,
     )
-    from quetzalcourse.coordination.membership.status import StatusBoard
+    from quetzalcourse.coordination.membership.status import StatusRegistry
     from quetzalcourse.coordination.steps.step_service import StepService
     from quetzalcourse.settings.process import ProcessSettings
     from quetzalcourse.state.clock import Clock
@@ -67,7 +67,7 @@
     counters: Counters
     activity: Activity
     keys: KeyRing
-    manifest: ManifestKeeper
+    manifest: ManifestStore
     router: Router
     generation: GenerationRunner
     services: ServiceDispatcher
@@ -76,7 +76,7 @@
     human_service: HumanRequestTracker
     claims: IdempotencyStore
     sessions: KeySessions
-    status: StatusBoard
+    status: StatusRegistry
 
 
 class RequestIds:
