--- a/bench/slot_policies.py
+++ b/bench/slot_policies.py
@@ -15,7 +15,7 @@
     from bench.slot_world import Engine
     from quetzalcourse.coordination.ports import MemberView
     from quetzalcourse.state.manifest import Manifest, Upstream
-    from quetzalcourse.state.slots import LoadKey, SlotWaiter
+    from quetzalcourse.state.slots import QueueKey, SlotWaiter
 
 REPORT_INTERVAL = 0.5
 REPORT_LAG = 0.5
@@ -48,12 +48,12 @@
     def on_manifest(self, manifest: Manifest) -> None:
         self.upstreams = dict(manifest.upstreams)
 
-    def on_started(self, upstream: str, key: LoadKey) -> None:
+    def on_started(self, upstream: str, key: QueueKey) -> None:
         self.running[upstream] += 1
         if key.traffic_class is TrafficClass.training:
             self.training[upstream] += 1
 
-    def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
+    def on_released(self, upstream: str, key: QueueKey, tokens: int) -> None:
         self.running[upstream] -= 1
         if key.traffic_class is TrafficClass.training:
             self.training[upstream] -= 1
@@ -121,11 +121,11 @@
             slots -= known.human_headroom
         return self._busy.get(upstream, 0) + self._sent[upstream] < slots
 
-    def on_started(self, upstream: str, key: LoadKey) -> None:
+    def on_started(self, upstream: str, key: QueueKey) -> None:
         super().on_started(upstream, key)
         self._sent[upstream] += 1
 
-    def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
+    def on_released(self, upstream: str, key: QueueKey, tokens: int) -> None:
         super().on_released(upstream, key, tokens)
         self._sent[upstream] -= 1
 
--- a/bench/suites/goodput.py
+++ b/bench/suites/goodput.py
@@ -14,7 +14,7 @@
 from quetzalcourse.coordination.slots.admission import Admission
 from quetzalcourse.coordination.requests.attempt import AttemptError
 from quetzalcourse.coordination.requests.generation import Generation
-from quetzalcourse.coordination.routing.health import Health
+from quetzalcourse.coordination.routing.outlier_detection import OutlierDetector
 from quetzalcourse.coordination.requests.retries import RetryBudget
 from quetzalcourse.coordination.routing.routing import Router
 from quetzalcourse.exceptions import RefusedError
@@ -55,7 +55,7 @@
 LOADS = (0.9, 1.3)
 
 
-class TrustingHealth(Health):
+class TrustingHealth(OutlierDetector):
     """Baseline: every upstream may always be tried."""
 
     def admits(self, name: str) -> bool:
@@ -151,7 +151,7 @@
         self.clock = VirtualClock()
         self.engines = Engines()
         counters = Counters()
-        kind = Health if guarded else TrustingHealth
+        kind = OutlierDetector if guarded else TrustingHealth
         health = kind(self.clock, counters, random.Random(seed))
         admission = Admission(self.clock)
         router = Router(HALLS[0])
--- a/bench/suites/leases.py
+++ b/bench/suites/leases.py
@@ -14,7 +14,7 @@
 from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
 from quetzalcourse.standins.virtual_time import VirtualClock, run_virtual
 from quetzalcourse.state.counters import Counters
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.members import Member
 from quetzalcourse.tests.gates import SlowTable, draw_pause
 from quetzalcourse.tests.peers import FakeMembers
@@ -33,7 +33,7 @@
     'lease_store_requests_per_s',
     'lease_store_requests_slope',
 )
-TERMS = LeaseTerms(
+TERMS = LeaseTimings(
     timedelta(seconds=10), timedelta(seconds=2), timedelta(seconds=2)
 )
 WAIT_SECONDS = TERMS.wait.total_seconds()
--- a/bench/suites/observation.py
+++ b/bench/suites/observation.py
@@ -6,13 +6,13 @@
 
 from bench.figure import Figure
 from bench.slopes import fit_slope
-from quetzalcourse.coordination.routing.leaving import Leaving
-from quetzalcourse.coordination.routing.observer import (
-    FAR_ROUNDS,
-    INTERVAL,
-    Observer,
+from quetzalcourse.coordination.routing.drain_tracker import DrainTracker
+from quetzalcourse.coordination.routing.engine_poller import (
+    POLL_INTERVAL,
+    REMOTE_POLL_ROUNDS,
+    EnginePoller,
 )
-from quetzalcourse.coordination.routing.prefixes import PrefixHints
+from quetzalcourse.coordination.routing.prefixes import PrefixCacheHints
 from quetzalcourse.coordination.routing.reports import EngineReports
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.engines import EngineReport
@@ -65,12 +65,12 @@
     """Count a daemon's requests to engines, a second."""
     clock = SystemClock()
     control = CountingControl()
-    observer = Observer(
+    observer = EnginePoller(
         'centre-0',
         control,  # type: ignore[arg-type]
-        Leaving(clock),
+        DrainTracker(clock),
         EngineReports(),
-        PrefixHints(),
+        PrefixCacheHints(),
         clock,
         Counters(),
         lambda _: 0,
@@ -87,6 +87,8 @@
         for number in range(engines)
     }
     observer.on_manifest(Manifest(upstreams=upstreams))
-    for turn in range(FAR_ROUNDS):
-        await observer.observe_all(far=turn == 0)
-    return control.requests / (FAR_ROUNDS * INTERVAL.total_seconds())
+    for turn in range(REMOTE_POLL_ROUNDS):
+        await observer.poll_all(include_remote=turn == 0)
+    return control.requests / (
+        REMOTE_POLL_ROUNDS * POLL_INTERVAL.total_seconds()
+    )
--- a/bench/suites/prefixes.py
+++ b/bench/suites/prefixes.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from bench.figure import Figure, at_least
-from quetzalcourse.coordination.routing.prefixes import PrefixHints
+from quetzalcourse.coordination.routing.prefixes import PrefixCacheHints
 from quetzalcourse.coordination.routing.reports import EngineReports
 from quetzalcourse.coordination.routing.routing import Router
 from quetzalcourse.state.engines import CacheChange, EngineReport
@@ -63,7 +63,7 @@
 
     def __init__(self, names: Sequence[str]) -> None:
         self.reports = EngineReports()
-        self.prefixes = PrefixHints()
+        self.prefixes = PrefixCacheHints()
         self.router = Router('hall', None, self.reports, self.prefixes)
         self.running = dict.fromkeys(names, 0)
         upstreams = {
@@ -78,7 +78,7 @@
         """Take an engine's report, without the changes that got lost."""
         report = EngineReport(SLOTS, cache.running, 0, 1, ('verse',), ())
         self.reports.on_report(name, report, self.running[name])
-        after = self.prefixes.read_sequence(name)
+        after = self.prefixes.find_last_sequence(name)
         heard = [
             change
             for change in cache.changes[after:]
--- a/bench/suites/quarantine.py
+++ b/bench/suites/quarantine.py
@@ -12,7 +12,7 @@
 from bench.figure import Figure, at_most
 from quetzalcourse.coordination.quarantine.quarantine import Quarantine
 from quetzalcourse.coordination.quarantine.records import (
-    MAX_ENDS,
+    MAX_CRASHES,
     QuarantineRecords,
 )
 from quetzalcourse.state.counters import Counters
@@ -173,7 +173,7 @@
             self._finish(server, call)
             if self._informed:
                 run = (server.name, server.run)
-                self.quarantine.on_end(call.name, run, server.name)
+                self.quarantine.on_crash(call.name, run, server.name)
         self._at(RESTART, lambda: self._restart(server))
         for call in broken:
             self._begin(call)
@@ -181,7 +181,7 @@
     def _restart(self, server: Server) -> None:
         server.run += 1
         server.is_up = True
-        self.quarantine.on_return((server.name, server.run), server.name)
+        self.quarantine.on_restart((server.name, server.run), server.name)
 
 
 def measure_poison() -> list[Figure]:
@@ -199,7 +199,7 @@
             'ends_under_one_request',
             world.ends,
             'ends',
-            at_most(MAX_ENDS + 1),
+            at_most(MAX_CRASHES + 1),
             baseline=before.ends,
             detail=f'{detail}; baseline: no quarantine',
         ),
--- a/bench/suites/together.py
+++ b/bench/suites/together.py
@@ -17,7 +17,7 @@
 from quetzalcourse.coordination.manifest.key_table import KeyTable
 from quetzalcourse.coordination.manifest.keys import hash_secret
 from quetzalcourse.standins.deployment import MODEL, READER_KEY, SERVICE
-from quetzalcourse.state.keys import KeyRecord, bury
+from quetzalcourse.state.keys import KeyRecord, build_tombstone
 
 FIGURES = (
     'manifest_in_force_s',
@@ -139,7 +139,7 @@
         ]
         while len(cluster.engine.record.started) < started + len(streams):
             await asyncio.sleep(0.1)
-        (await table.append(bury(key_id))).unwrap()
+        (await table.append(build_tombstone(key_id))).unwrap()
         withdrawn = time.monotonic()
         ended = await asyncio.gather(*streams)
         times.extend(moment - withdrawn for moment in ended)
--- a/quetzalcourse/commands/key.py
+++ b/quetzalcourse/commands/key.py
@@ -17,7 +17,7 @@
 from quetzalcourse.coordination.manifest.keys import KEY_SEPARATOR, hash_secret
 from quetzalcourse.exceptions import AbortError
 from quetzalcourse.loop import run_loop
-from quetzalcourse.state.keys import KeyRecord, bury, check_record
+from quetzalcourse.state.keys import KeyRecord, build_tombstone, validate_record
 
 SECRET_BYTES = 24
 TIMEOUT_SECONDS = 5.0
@@ -88,7 +88,7 @@
 
     :raises AbortError: if nobody could be told.
     """
-    return run_loop(_change(options, bury(options.key_id)))
+    return run_loop(_change(options, build_tombstone(options.key_id)))
 
 
 def run_list(options: argparse.Namespace) -> int:
@@ -97,7 +97,7 @@
 
 
 async def _change(options: argparse.Namespace, record: KeyRecord) -> int:
-    fault = check_record(record)
+    fault = validate_record(record)
     if fault:
         raise AbortError(fault)
     held = await _change_in_table(options, record)
@@ -135,7 +135,7 @@
         if not isinstance(read, Err):
             for known in read.ok_value[1]:
                 if known.key_id == record.key_id:
-                    held = held.join(known)
+                    held = held.merge(known)
             if held.withdrawn and not record.withdrawn:
                 return held
             written = await table.append(record)
@@ -160,7 +160,7 @@
     records: dict[str, KeyRecord] = {}
     for record in await _read_records(options):
         held = records.get(record.key_id)
-        records[record.key_id] = held.join(record) if held else record
+        records[record.key_id] = held.merge(record) if held else record
     rows = [
         (
             record.key_id,
--- a/quetzalcourse/commands/quarantine.py
+++ b/quetzalcourse/commands/quarantine.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from quetzalcourse.commands.output import write_json, write_line, write_table
-from quetzalcourse.coordination.quarantine.quarantine_rows import (
+from quetzalcourse.coordination.quarantine.quarantine_store import (
     PREFIX,
     read_row,
 )
--- a/quetzalcourse/commands/usage.py
+++ b/quetzalcourse/commands/usage.py
@@ -16,7 +16,7 @@
 from quetzalcourse.exceptions import AbortError
 from quetzalcourse.loop import run_loop
 from quetzalcourse.state.usage import (
-    Entries,
+    UsageByKey,
     UsageFigures,
     UsageKey,
     UsageReportContent,
@@ -77,7 +77,7 @@
     table: Table,
     window: str,
     account: str,
-) -> tuple[Entries, list[Share]]:
+) -> tuple[UsageByKey, list[Share]]:
     """Find the figures of a report and the rows that they were summed from.
 
     :returns: the report's figures for the account, late ones included, and
@@ -114,16 +114,18 @@
     )
 
 
-def list_shares(incarnation: str, window: str, counted: Entries) -> list[Share]:
+def list_shares(
+    incarnation: str, window: str, counted: UsageByKey
+) -> list[Share]:
     """Turn a daemon's figures into its shares in a report."""
     return [
         Share(incarnation, window, key, counted[key]) for key in sorted(counted)
     ]
 
 
-def sum_shares(shares: list[Share]) -> Entries:
+def sum_shares(shares: list[Share]) -> UsageByKey:
     """Add the shares of all daemons."""
-    total: Entries = {}
+    total: UsageByKey = {}
     for share in shares:
         total = add_entries(total, {share.key: share.figures})
     return total
--- a/quetzalcourse/coordination/batches/adoption.py
+++ b/quetzalcourse/coordination/batches/adoption.py
@@ -172,7 +172,7 @@
         if view.owner is not None and view.owner.incarnation == own.incarnation:
             return timedelta(0)
         before = view.owner.incarnation if view.owner is not None else ''
-        holders = self._residency.list_holders(
+        holders = self._residency.list_takeover_candidates(
             view.head,
             self._presence.list_live(),
             self._presence.find_data_centre(view.owner),
--- a/quetzalcourse/coordination/batches/batch_rows.py
+++ b/quetzalcourse/coordination/batches/batch_rows.py
@@ -40,7 +40,7 @@
     from collections.abc import Mapping, Sequence
 
     from quetzalcourse.coordination.ports import Table
-    from quetzalcourse.state.rows import Commit
+    from quetzalcourse.state.rows import TransactionResult
 
 TABLE = 'batches'
 ITEMS = 'items'
@@ -361,7 +361,7 @@
 
 
 def _read_commit(
-    answer: Result[Commit, StoreFault],
+    answer: Result[TransactionResult, StoreFault],
     key: str,
 ) -> Result[Written | Row, StoreFault]:
     if isinstance(answer, Err):
--- a/quetzalcourse/coordination/batches/coordinators.py
+++ b/quetzalcourse/coordination/batches/coordinators.py
@@ -141,7 +141,7 @@
         )
         if coordinator.vm == own.vm or self._follower.faulty:
             return OfferOutcome.declined
-        if not self._residency.may_hold(head, coordinator):
+        if not self._residency.may_store_items(head, coordinator):
             return OfferOutcome.declined
         offered = BatchOffer(next(self._numbers), head, list(items))
         content = msgspec.msgpack.encode(offered)
--- a/quetzalcourse/coordination/batches/migration.py
+++ b/quetzalcourse/coordination/batches/migration.py
@@ -56,7 +56,7 @@
         for one in weighed
         if one.name != here.name
         and one.token_latency
-        and not one.faults
+        and not one.consecutive_failures
         and one.count_load(now) + SPARE_SLOTS < one.member.slots
     ]
     best = min(
--- a/quetzalcourse/coordination/batches/owner_watch.py
+++ b/quetzalcourse/coordination/batches/owner_watch.py
@@ -97,7 +97,7 @@
         if version == view.owner_version and now - chosen_at < CHOICE_TTL:
             return chosen
         owner = view.owner.incarnation if view.owner is not None else ''
-        holders = self._residency.list_holders(
+        holders = self._residency.list_takeover_candidates(
             view.head,
             self._presence.list_live(),
             self._presence.find_data_centre(view.owner),
--- a/quetzalcourse/coordination/batches/placement.py
+++ b/quetzalcourse/coordination/batches/placement.py
@@ -98,7 +98,7 @@
         return [
             upstream
             for upstream in self._pool.sample_service(need.service)
-            if upstream.fits(need.model, need.oldest, now)
+            if upstream.can_run(need.model, need.oldest, now)
             and upstream.is_allowed(need.allowed_regions)
             and upstream.name not in need.occupied
         ]
@@ -150,7 +150,7 @@
         cold = self._pool.cold_starts.is_cold(upstream)
         return (
             upstream.name == need.avoided,
-            2 * (upstream.faults > 0) + cold,
+            2 * (upstream.consecutive_failures > 0) + cold,
             rank_latency(upstream, median),
             _share(upstream, now),
             -upstream.find_version(need.model),
--- a/quetzalcourse/coordination/batches/runner.py
+++ b/quetzalcourse/coordination/batches/runner.py
@@ -295,7 +295,7 @@
         finally:
             target = self._on_end(run, upstream)
         if result is not None:
-            self._quarantine.on_answer(run.fingerprint, upstream.run)
+            self._quarantine.on_answer(run.fingerprint, upstream.run_id)
         if result is None:
             run.avoided = upstream.name
             run.state = ItemState.waiting
@@ -337,7 +337,7 @@
         self._pool.on_end(target)
         # It may have left or begun anew while the last event came.
         known = self._pool.find(target.name) is target
-        usable = target.is_open(self._clock.elapsed())
+        usable = target.is_available(self._clock.elapsed())
         usable = usable and self._pool.cold_starts.admits(target)
         return target if known and usable else None
 
--- a/quetzalcourse/coordination/batches/scoring.py
+++ b/quetzalcourse/coordination/batches/scoring.py
@@ -178,7 +178,7 @@
         took = self._clock.elapsed() - began
         self._note(route, outcome, took)
         if outcome.state in ANSWERED:
-            self._quarantine.on_answer(run.scoring_fingerprint, upstream.run)
+            self._quarantine.on_answer(run.scoring_fingerprint, upstream.run_id)
         if outcome.state is ScoringState.scored:
             log.info(
                 'Item is scored.',
@@ -263,14 +263,14 @@
     :returns: ``None`` if none has room beside humans.
     """
     able = [one for one in upstreams if one.accepts_work]
-    usable = [one for one in able if one.is_open(now)] or able
+    usable = [one for one in able if one.is_available(now)] or able
     fit = [one for one in usable if has_room(one, now)]
     return min(
         fit,
         key=lambda one: (
             one.name == avoided,
             one.ejected_until if one.ejected_until > now else timedelta(0),
-            one.faults > 0,
+            one.consecutive_failures > 0,
             one.count_load(now) / one.member.slots,
         ),
         default=None,
@@ -292,7 +292,7 @@
     :param misses: calls before it that brought no score.
     """
     longest = route.target_latency or DEFAULT_TIMEOUT
-    first = timeouts.find_wait(route.name, longest)
+    first = timeouts.find_timeout(route.name, longest)
     # A text that waits for minutes has hundreds of misses behind it; so many
     # doublings of a duration are none any more, and would end its calls.
     doublings = min(misses, MAX_DOUBLINGS)
--- a/quetzalcourse/coordination/batches/slot_allocation.py
+++ b/quetzalcourse/coordination/batches/slot_allocation.py
@@ -236,12 +236,12 @@
         upstream = self._pool.find(name)
         if upstream is None:
             return
-        upstream.taken = sum(
+        upstream.peer_items = sum(
             coordinator.taken.get(name, 0)
             for coordinator in self._coordinators.values()
             if now - coordinator.heard <= UPDATE_TTL
         )
-        upstream.taken_until = now + UPDATE_TTL
+        upstream.peer_items_until = now + UPDATE_TTL
 
     def _find_first(self, name: str) -> str:
         """Find the VM of the coordinator that goes first at an upstream."""
@@ -274,4 +274,4 @@
         return False
     if not upstream.is_allowed(key.allowed_regions):
         return False
-    return upstream.fits(key.model, key.oldest, now)
+    return upstream.can_run(key.model, key.oldest, now)
--- a/quetzalcourse/coordination/feeds/ports.py
+++ b/quetzalcourse/coordination/feeds/ports.py
@@ -9,7 +9,7 @@
 
     from result import Result
 
-    from quetzalcourse.state.rows import Changes, StoreFault
+    from quetzalcourse.state.rows import RowChanges, StoreFault
 
 
 class ChangeFeed(Protocol):
@@ -23,7 +23,7 @@
         self,
         table: str,
         part: str,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Read all rows of a part.
 
         :returns: the rows, with a version behind which to follow.
@@ -37,7 +37,7 @@
         table: str,
         version: int,
         wait: timedelta,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Wait for the changes behind a version.
 
         :returns: the changes, none if there were none in time.
--- a/quetzalcourse/coordination/feeds/store_calls.py
+++ b/quetzalcourse/coordination/feeds/store_calls.py
@@ -9,8 +9,8 @@
 
 from quetzalcourse.coordination.feeds.relay import RowUpdate
 from quetzalcourse.state.rows import (
-    Changes,
-    Commit,
+    RowChanges,
+    TransactionResult,
     Condition,
     FaultKind,
     Row,
@@ -191,14 +191,16 @@
     )
 
 
-def read_commit(reply: StoreReply) -> Commit:
+def read_commit(reply: StoreReply) -> TransactionResult:
     """Read what became of a transaction."""
-    return Commit(reply.applied, tuple(reply.read_rows()), reply.version)
+    return TransactionResult(
+        reply.applied, tuple(reply.read_rows()), reply.version
+    )
 
 
-def read_changes(reply: StoreReply) -> Changes:
+def read_changes(reply: StoreReply) -> RowChanges:
     """Read changes of a table."""
-    return Changes(tuple(reply.read_rows()), reply.version)
+    return RowChanges(tuple(reply.read_rows()), reply.version)
 
 
 def read_row(reply: StoreReply) -> Row | None:
--- a/quetzalcourse/coordination/feeds/store_relay.py
+++ b/quetzalcourse/coordination/feeds/store_relay.py
@@ -30,7 +30,12 @@
     from quetzalcourse.coordination.ports import Peers, Table
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
-    from quetzalcourse.state.rows import Changes, Commit, Row, Transaction
+    from quetzalcourse.state.rows import (
+        RowChanges,
+        TransactionResult,
+        Row,
+        Transaction,
+    )
 
     Answered = Result[calls.StoreReply, StoreFault]
 
@@ -104,7 +109,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows together if every condition holds."""
         return await self._call(
             lambda: self._table.transact(transaction),
@@ -116,7 +121,7 @@
         self,
         table: str,
         part: str,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Read all rows of a part."""
         return await self._call(
             lambda: self._feed.read_part(table, part),
@@ -137,7 +142,7 @@
         table: str,
         version: int,
         wait: timedelta,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Wait for the changes behind a version."""
         call = calls.FollowCall(table, version, wait // calls.MILLISECOND)
         return await self._call(
@@ -280,7 +285,7 @@
     async def _make_feed_call(
         self,
         call: calls.FollowCall | calls.ReadPartCall,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         if isinstance(call, calls.ReadPartCall):
             return await self._feed.read_part(call.table, call.part)
         wait = call.wait_ms * calls.MILLISECOND
--- a/quetzalcourse/coordination/forwarding/attempt_timeouts.py
+++ b/quetzalcourse/coordination/forwarding/attempt_timeouts.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class AnswerTime:
+class ResponseTimeStats:
     """What is known of the answers on one route, in seconds."""
 
     answers: int = 0
@@ -51,7 +51,7 @@
 
     def __init__(self) -> None:
         """Begin without answers."""
-        self._routes: dict[str, AnswerTime] = {}
+        self._routes: dict[str, ResponseTimeStats] = {}
 
     def on_answer(self, route: str, took: timedelta) -> None:
         """Learn how long an answer took."""
@@ -63,7 +63,7 @@
             waited.total_seconds() * TIMEOUT_BACKOFF_FACTOR
         )
 
-    def find_wait(self, route: str, longest: timedelta) -> timedelta:
+    def find_timeout(self, route: str, longest: timedelta) -> timedelta:
         """Tell how long to wait.
 
         :param longest: wait while nothing is known, and in any case.
@@ -74,5 +74,5 @@
         usual = timedelta(seconds=known.mean + known.deviation * DEVIATIONS)
         return min(max(usual, MIN_WAIT), longest)
 
-    def _find(self, route: str) -> AnswerTime:
-        return self._routes.setdefault(route, AnswerTime())
+    def _find(self, route: str) -> ResponseTimeStats:
+        return self._routes.setdefault(route, ResponseTimeStats())
--- a/quetzalcourse/coordination/forwarding/cold_start.py
+++ b/quetzalcourse/coordination/forwarding/cold_start.py
@@ -26,7 +26,7 @@
 
 # Views that may differ at once: two sides of a partition, and a daemon that
 # has just restarted. Each may choose other senders.
-MAX_DIFFERING_VIEWS = 3
+MAX_DIVERGENT_VIEWS = 3
 WINDOW = timedelta(seconds=1)
 
 
@@ -37,7 +37,7 @@
         """Tell whether this daemon goes first at an upstream."""
 
 
-class ColdStarts(Protocol):
+class ColdStartPolicy(Protocol):
     """Decides on requests to cold upstreams."""
 
     def find_duration(self, upstream: Upstream) -> timedelta:
@@ -50,7 +50,7 @@
         """Tell whether this daemon may send an upstream a request now."""
 
 
-class NoColdStarts:
+class NoColdStartLimits:
     """Upstreams that take any number of requests from their start on."""
 
     def find_duration(self, _: Upstream) -> timedelta:
@@ -123,7 +123,7 @@
 
     def _find_share(self, upstream: Upstream) -> int:
         service = upstream.member.service
-        budget = find_budget(self._cold_starts[service], self._terms)
+        budget = compute_sender_budget(self._cold_starts[service], self._terms)
         if service in self._batch_services:
             return budget if self._coordinators.leads(upstream) else 0
         ranked = rank_members(upstream.name, self._members.list_live())
@@ -133,7 +133,7 @@
         return budget // len(senders)
 
 
-def find_budget(cold_start: ColdStart, terms: ColdStartTerms) -> int:
+def compute_sender_budget(cold_start: ColdStart, terms: ColdStartTerms) -> int:
     """Tell how many requests the senders of one view share in a second."""
     limit = cold_start.requests_per_second * terms.overage + terms.slack
-    return int(limit / MAX_DIFFERING_VIEWS)
+    return int(limit / MAX_DIVERGENT_VIEWS)
--- a/quetzalcourse/coordination/forwarding/forwarding.py
+++ b/quetzalcourse/coordination/forwarding/forwarding.py
@@ -21,17 +21,17 @@
     from quetzalcourse.state.routing import AllowedRegions, Route
 
 # Retry-After of a refused request; another daemon may serve it.
-COME_BACK = timedelta(milliseconds=200)
+REFUSAL_RETRY_AFTER = timedelta(milliseconds=200)
 # Share of an idempotent request's time after which its first attempt is given
 # up, until answers on the route are known.
-FIRST_SHARE = 0.4
-MIN_TIMEOUT = timedelta(milliseconds=250)
+FIRST_ATTEMPT_SHARE = 0.4
+MIN_FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=250)
 # Requests with less time left are refused at once.
 MIN_TIME_LEFT = timedelta(milliseconds=5)
 
 
 @dataclass(slots=True)
-class Forwarding:
+class ForwardedRequest:
     """A caller's request on its way to an upstream.
 
     :param service: where it goes.
@@ -43,8 +43,9 @@
     :param unreachable: upstreams that could not be connected to.
     :param may_have_run: whether one of them may have begun to run it.
     :param attempt_began: time since boot at which the last one was chosen.
-    :param silent: data centres of upstreams that did not answer.
-    :param waits_for: how long it waits before another upstream is tried,
+    :param unresponsive_data_centres: data centres of upstreams that gave no
+        answer.
+    :param attempt_timeout: how long it waits before another upstream is tried,
         zero if none will be.
     """
 
@@ -59,9 +60,9 @@
     attempts: int = 0
     may_have_run: bool = False
     attempt_began: timedelta = timedelta(0)
-    waits_for: timedelta = timedelta(0)
+    attempt_timeout: timedelta = timedelta(0)
     tried: set[str] = field(default_factory=set)
-    silent: set[str] = field(default_factory=set)
+    unresponsive_data_centres: set[str] = field(default_factory=set)
     unreachable: set[str] = field(default_factory=set)
 
     @property
@@ -82,11 +83,11 @@
         self._timeouts = AttemptTimeouts()
         self._clock = clock
 
-    def measure_left(self, forwarding: Forwarding) -> timedelta:
+    def find_time_left(self, forwarding: ForwardedRequest) -> timedelta:
         """Tell how long the caller still waits."""
         return forwarding.deadline - self._clock.elapsed()
 
-    async def admit(self, forwarding: Forwarding) -> None:
+    async def admit(self, forwarding: ForwardedRequest) -> None:
         """Let a request be sent to an upstream, or once more to another.
 
         :raises RefusedError: if it ends the upstreams that run it.
@@ -95,18 +96,18 @@
             forwarding.fingerprint, may_have_run=forwarding.may_have_run
         )
 
-    def choose(self, forwarding: Forwarding) -> Upstream:
+    def choose(self, forwarding: ForwardedRequest) -> Upstream:
         """Choose the upstream of the next attempt.
 
         :raises RefusedError: if none can be tried, or there is no time.
         """
-        if self.measure_left(forwarding) < MIN_TIME_LEFT:
-            raise RefusedError(self.refuse_late(forwarding))
+        if self.find_time_left(forwarding) < MIN_TIME_LEFT:
+            raise RefusedError(self.build_deadline_refusal(forwarding))
         avoided = self._quarantine.list_avoided(forwarding.fingerprint)
         upstream = self._pool.choose(
             forwarding.service,
             forwarding.tried.union(avoided),
-            forwarding.silent,
+            forwarding.unresponsive_data_centres,
             forwarding.allowed_regions,
         )
         if upstream is None and forwarding.may_have_run:
@@ -124,27 +125,33 @@
         forwarding.tried.add(upstream.name)
         return upstream
 
-    def find_timeout(self, forwarding: Forwarding) -> timedelta:
+    def find_timeout(self, forwarding: ForwardedRequest) -> timedelta:
         """Tell how long to wait for the head of an attempt's answer."""
-        left = self.measure_left(forwarding)
+        left = self.find_time_left(forwarding)
         if not self.may_repeat(forwarding, not_run=False):
-            forwarding.waits_for = timedelta(0)
+            forwarding.attempt_timeout = timedelta(0)
             return left
-        longest = min(left, max(left * FIRST_SHARE, MIN_TIMEOUT))
-        wait = self._timeouts.find_wait(forwarding.route.name, longest)
-        forwarding.waits_for = wait
+        longest = min(
+            left, max(left * FIRST_ATTEMPT_SHARE, MIN_FIRST_ATTEMPT_TIMEOUT)
+        )
+        wait = self._timeouts.find_timeout(forwarding.route.name, longest)
+        forwarding.attempt_timeout = wait
         return wait
 
-    def on_answer(self, forwarding: Forwarding) -> None:
+    def on_answer(self, forwarding: ForwardedRequest) -> None:
         """Learn that the attempt's answer begins to come."""
         took = self._clock.elapsed() - forwarding.attempt_began
         self._timeouts.on_answer(forwarding.route.name, took)
 
-    def on_silence(self, forwarding: Forwarding, upstream: Upstream) -> None:
+    def on_no_response(
+        self, forwarding: ForwardedRequest, upstream: Upstream
+    ) -> None:
         """Learn that an upstream could not be reached, or did not answer."""
-        forwarding.silent.add(upstream.member.data_centre)
+        forwarding.unresponsive_data_centres.add(upstream.member.data_centre)
 
-    def on_not_sent(self, forwarding: Forwarding, upstream: Upstream) -> None:
+    def on_not_sent(
+        self, forwarding: ForwardedRequest, upstream: Upstream
+    ) -> None:
         """Learn that no connection was made for the attempt.
 
         Upstreams that ended are registered for seconds; the few attempts that
@@ -152,14 +159,16 @@
         """
         forwarding.unreachable.add(upstream.name)
 
-    def on_late(self, forwarding: Forwarding) -> None:
+    def on_timeout(self, forwarding: ForwardedRequest) -> None:
         """Learn that the attempt's answer did not come in time."""
-        if forwarding.waits_for:
+        if forwarding.attempt_timeout:
             self._timeouts.on_timeout(
-                forwarding.route.name, forwarding.waits_for
+                forwarding.route.name, forwarding.attempt_timeout
             )
 
-    def may_repeat(self, forwarding: Forwarding, *, not_run: bool) -> bool:
+    def may_repeat(
+        self, forwarding: ForwardedRequest, *, not_run: bool
+    ) -> bool:
         """Tell whether another upstream may be tried.
 
         :param not_run: whether the last attempt certainly did not run.
@@ -169,14 +178,14 @@
         sent = forwarding.attempts - len(forwarding.unreachable)
         if sent >= forwarding.route.max_attempts:
             return False
-        if self.measure_left(forwarding) < MIN_TIME_LEFT:
+        if self.find_time_left(forwarding) < MIN_TIME_LEFT:
             return False
         return not_run or forwarding.repeatable
 
-    def refuse(self, forwarding: Forwarding) -> Refusal:
+    def build_refusal(self, forwarding: ForwardedRequest) -> Refusal:
         """Say why a request ends without an upstream's answer."""
-        if self.measure_left(forwarding) < MIN_TIME_LEFT:
-            return self.refuse_late(forwarding)
+        if self.find_time_left(forwarding) < MIN_TIME_LEFT:
+            return self.build_deadline_refusal(forwarding)
         if forwarding.may_have_run:
             return Refusal(
                 RefusalCode.outcome_unknown,
@@ -186,25 +195,25 @@
             )
         return _refuse_without(forwarding)
 
-    def refuse_late(self, forwarding: Forwarding) -> Refusal:
+    def build_deadline_refusal(self, forwarding: ForwardedRequest) -> Refusal:
         """Say that the time is over."""
         not_run = not forwarding.may_have_run
         return Refusal(
             RefusalCode.deadline_exceeded,
             'The time for this request is over.',
             not_run=not_run,
-            retry_after=COME_BACK if not_run else None,
+            retry_after=REFUSAL_RETRY_AFTER if not_run else None,
             step='forward',
         )
 
 
-def _refuse_without(forwarding: Forwarding) -> Refusal:
+def _refuse_without(forwarding: ForwardedRequest) -> Refusal:
     not_run = not forwarding.may_have_run
     code = RefusalCode.overloaded if not_run else RefusalCode.outcome_unknown
     return Refusal(
         code,
         'No upstream takes this request now.',
         not_run=not_run,
-        retry_after=COME_BACK if not_run else None,
+        retry_after=REFUSAL_RETRY_AFTER if not_run else None,
         step='forward',
     )
--- a/quetzalcourse/coordination/forwarding/pool.py
+++ b/quetzalcourse/coordination/forwarding/pool.py
@@ -7,14 +7,14 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.forwarding.cold_start import NoColdStarts
+from quetzalcourse.coordination.forwarding.cold_start import NoColdStartLimits
 from quetzalcourse.coordination.forwarding.upstream import ZERO, Upstream
 from quetzalcourse.log import get_log
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Mapping
 
-    from quetzalcourse.coordination.forwarding.cold_start import ColdStarts
+    from quetzalcourse.coordination.forwarding.cold_start import ColdStartPolicy
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.pool import LoadReport, PoolMember
@@ -34,7 +34,7 @@
 MAX_CANDIDATES = 64
 # Below this share of its slots an upstream with an open connection goes first,
 # which saves opening another one.
-KEPT_SHARE = 0.5
+KEEPALIVE_MAX_LOAD = 0.5
 # Failures after which an upstream may have restarted unnoticed.
 RESTART_REASONS = frozenset(('not_sent',))
 NO_REGIONS: Mapping[str, str] = MappingProxyType({})
@@ -65,12 +65,12 @@
         self._upstreams: dict[str, Upstream] = {}
         self._services: dict[str, dict[str, Upstream]] = {}
         self._random = random.Random()
-        self.cold_starts: ColdStarts = NoColdStarts()
-        self.run_listeners: list[Callable[[Upstream], None]] = []
+        self.cold_starts: ColdStartPolicy = NoColdStartLimits()
+        self.registration_listeners: list[Callable[[Upstream], None]] = []
         self._evacuated: set[str] = set()
         self._are_entries_current: Callable[[], bool] = _always
 
-    def on_entries(self, are_current: Callable[[], bool]) -> None:
+    def set_entry_check(self, are_current: Callable[[], bool]) -> None:
         """Ask whether a restarted upstream would be known by its entry."""
         self._are_entries_current = are_current
 
@@ -83,7 +83,7 @@
             self._keep(known)
             self._log(member, 'Upstream registered.')
             self._warm_up(known, member.cold_for)
-            for listener in self.run_listeners:
+            for listener in self.registration_listeners:
                 listener(known)
             return
         if known.member.service != member.service:
@@ -166,7 +166,7 @@
             and upstream.is_allowed(allowed)
             and self.cold_starts.admits(upstream)
         ]
-        is_open = [upstream for upstream in fit if upstream.is_open(now)]
+        is_open = [upstream for upstream in fit if upstream.is_available(now)]
         if not is_open:
             return min(fit, key=lambda one: one.ejected_until, default=None)
         return min(
@@ -184,8 +184,10 @@
     ) -> tuple[int, bool, float, bool, float]:
         share = upstream.count_load(now) / upstream.member.slots
         near = upstream.member.data_centre == self._data_centre
-        kept = now < upstream.kept_until and share < KEPT_SHARE
-        doubt = 2 * (upstream.faults > 0) + self.cold_starts.is_cold(upstream)
+        kept = now < upstream.keepalive_until and share < KEEPALIVE_MAX_LOAD
+        doubt = 2 * (
+            upstream.consecutive_failures > 0
+        ) + self.cold_starts.is_cold(upstream)
         return (doubt, not kept, share, not near, self._random.random())
 
     def on_start(self, upstream: Upstream) -> None:
@@ -194,34 +196,41 @@
 
     def on_send(self, upstream: Upstream) -> None:
         """Note when a request is sent."""
-        upstream.sent_at.append(self._clock.elapsed())
+        upstream.recent_sends.append(self._clock.elapsed())
 
     def on_end(self, upstream: Upstream) -> None:
         """Count a request that ended."""
         upstream.running -= 1
 
-    def on_kept(self, upstream: Upstream, duration: timedelta) -> None:
+    def on_idle_connection(
+        self, upstream: Upstream, duration: timedelta
+    ) -> None:
         """Learn that a connection to an upstream is open and unused."""
-        upstream.kept_until = self._clock.elapsed() + duration
+        upstream.keepalive_until = self._clock.elapsed() + duration
 
     def on_load(self, upstream: Upstream, load: LoadReport | None) -> None:
         """Learn the load that an upstream told with an answer."""
         if load is not None:
-            upstream.others = max(0, load.total - upstream.running)
-            upstream.others_at = self._clock.elapsed()
+            upstream.other_requests = max(0, load.total - upstream.running)
+            upstream.other_requests_at = self._clock.elapsed()
 
     def on_success(self, upstream: Upstream) -> None:
         """Learn that an upstream served a request."""
-        if upstream.faults:
+        if upstream.consecutive_failures:
             self._log(upstream.member, 'Upstream serves again.')
-        upstream.faults = 0
+        upstream.consecutive_failures = 0
         upstream.consecutive_timeouts = 0
         upstream.ejected_until = ZERO
 
     def on_failure(self, upstream: Upstream, reason: str) -> None:
         """Learn that an attempt failed, and eject the upstream."""
-        backoff = min(FAILURE_BACKOFF * 2**upstream.faults, MAX_FAILURE_BACKOFF)
-        upstream.faults = min(upstream.faults + 1, 5)
+        backoff = min(
+            FAILURE_BACKOFF * 2**upstream.consecutive_failures,
+            MAX_FAILURE_BACKOFF,
+        )
+        upstream.consecutive_failures = min(
+            upstream.consecutive_failures + 1, 5
+        )
         upstream.ejected_until = self._clock.elapsed() + backoff
         if reason in RESTART_REASONS and not self._are_entries_current():
             cold_for = self.cold_starts.find_duration(upstream)
@@ -235,13 +244,13 @@
             seconds=backoff.total_seconds(),
         )
 
-    def on_late(self, upstream: Upstream) -> None:
+    def on_timeout(self, upstream: Upstream) -> None:
         """Learn that an answer did not come in time."""
         upstream.consecutive_timeouts += 1
         if upstream.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
             self.on_failure(upstream, 'late')
 
-    def on_busy(self, upstream: Upstream, model: str) -> None:
+    def on_model_refused(self, upstream: Upstream, model: str) -> None:
         """Learn that an upstream refuses a model, or all work, for now."""
         upstream.unavailable_until[model] = (
             self._clock.elapsed() + LOADING_BACKOFF
@@ -268,7 +277,7 @@
 
     def on_token_latency(self, upstream: Upstream, seconds: float) -> None:
         """Learn the time between two events of a stream."""
-        upstream.latencies += 1
+        upstream.latency_samples += 1
         known = upstream.mean_token_latency or seconds
         upstream.mean_token_latency = known + (seconds - known) * LATENCY_WEIGHT
 
--- a/quetzalcourse/coordination/forwarding/registrations.py
+++ b/quetzalcourse/coordination/forwarding/registrations.py
@@ -23,8 +23,8 @@
 
 # Upstreams whose entries lapsed while the store was away register again
 # within two seconds of its return; one that does not by then is gone.
-RETURN_TIME = timedelta(seconds=2)
-TICK = timedelta(milliseconds=250)
+REREGISTRATION_GRACE = timedelta(seconds=2)
+CHECK_INTERVAL = timedelta(milliseconds=250)
 log = get_log('pool')
 
 
@@ -49,7 +49,7 @@
         self._lapsed: set[str] = set()
         self._lapsing = asyncio.Event()
         follower.on_rows(self.on_rows)
-        pool.on_entries(self.are_current)
+        pool.set_entry_check(self.are_current)
 
     def on_rows(self, rows: list[Row]) -> None:
         """Take entries that changed."""
@@ -63,13 +63,13 @@
 
     def are_current(self) -> bool:
         """Tell whether entries come in as upstreams write them."""
-        return self._follower.steady_for > RETURN_TIME
+        return self._follower.steady_for > REREGISTRATION_GRACE
 
     async def run(self) -> None:
         """Give up lapsed entries once their time is over."""
         while True:
             await self._lapsing.wait()
-            await self._clock.sleep(TICK)
+            await self._clock.sleep(CHECK_INTERVAL)
             if self.are_current():
                 for name in self._lapsed:
                     self._pool.remove(name)
--- a/quetzalcourse/coordination/forwarding/residency.py
+++ b/quetzalcourse/coordination/forwarding/residency.py
@@ -47,12 +47,12 @@
         route = self.routes.find(head.route)
         return self.find_allowed(route, head.client_account)
 
-    def may_hold(self, head: BatchHead, member: Member) -> bool:
+    def may_store_items(self, head: BatchHead, member: Member) -> bool:
         """Tell whether a daemon may be sent the items of a batch."""
         allowed = self.find_batch_regions(head)
         return allowed is None or self._find_region(member) in allowed
 
-    def list_holders(
+    def list_takeover_candidates(
         self,
         head: BatchHead | None,
         members: Iterable[Member],
@@ -68,7 +68,7 @@
         everyone = list(members)
         if head is None:
             return everyone
-        allowed = [one for one in everyone if self.may_hold(head, one)]
+        allowed = [one for one in everyone if self.may_store_items(head, one)]
         region = self._regions.get(owner, '')
         return allowed or [
             one for one in everyone if self._find_region(one) == region
@@ -76,7 +76,7 @@
 
     def may_relay(self, own: Member, member: Member) -> bool:
         """Tell whether a daemon may write for another one to the store."""
-        if not self.routes.binds_regions:
+        if not self.routes.restricts_regions:
             return True
         return self._find_region(own) == self._find_region(member)
 
--- a/quetzalcourse/coordination/forwarding/route_table.py
+++ b/quetzalcourse/coordination/forwarding/route_table.py
@@ -16,7 +16,7 @@
 
     from quetzalcourse.state.routing import (
         AllowedRegions,
-        KeyHolder,
+        AccountKeys,
         Route,
         RoutingManifest,
     )
@@ -34,7 +34,7 @@
         self.manifest: RoutingManifest | None = None
         self._routes: dict[str, dict[str, Route]] = {}
         self._names: dict[str, Route] = {}
-        self._holders: dict[bytes, KeyHolder] = {}
+        self._holders: dict[bytes, AccountKeys] = {}
         self._account_regions: dict[str, AllowedRegions] = {}
         self._listeners: list[Listener] = []
 
@@ -72,12 +72,12 @@
         self._names = {route.name: route for route in manifest.routes}
         self._holders = {
             digest: holder
-            for holder in manifest.holders or ()
-            for digest in holder.digests
+            for holder in manifest.accounts or ()
+            for digest in holder.key_digests
         }
         self._account_regions = {
             holder.client_account: holder.allowed_regions
-            for holder in manifest.holders or ()
+            for holder in manifest.accounts or ()
         }
         log.info(
             'Manifest in force.',
@@ -114,7 +114,7 @@
         return self._account_regions.get(client_account)
 
     @property
-    def binds_regions(self) -> bool:
+    def restricts_regions(self) -> bool:
         """Whether any route or client account is bound to regions."""
         routes = self.manifest.routes if self.manifest else ()
         of_routes = any(route.allowed_regions is not None for route in routes)
@@ -122,7 +122,7 @@
             allowed is not None for allowed in self._account_regions.values()
         )
 
-    def identify(self, key: str) -> KeyHolder | None:
+    def authenticate(self, key: str) -> AccountKeys | None:
         """Find the client account that a key acts for.
 
         :returns: ``None`` where no keys are asked for.
@@ -130,7 +130,7 @@
         """
         if self.manifest is None:
             raise RefusedError(_refuse_unready())
-        if self.manifest.holders is None:
+        if self.manifest.accounts is None:
             return None
         digest = hashlib.sha256(key.encode(errors='surrogateescape')).digest()
         holder = self._holders.get(digest)
--- a/quetzalcourse/coordination/leases/lease.py
+++ b/quetzalcourse/coordination/leases/lease.py
@@ -14,7 +14,7 @@
     LeaseRecord,
     LeaseState,
     LeaseStatus,
-    LeaseTerms,
+    LeaseTimings,
 )
 from quetzalcourse.state.rows import (
     ABSENT,
@@ -105,7 +105,7 @@
         clock: Clock,
         key: str,
         holder: str,
-        terms: LeaseTerms,
+        terms: LeaseTimings,
         fence_key: str = '',
     ) -> None:
         """Begin without the lease and without an observation."""
--- a/quetzalcourse/coordination/manifest/following.py
+++ b/quetzalcourse/coordination/manifest/following.py
@@ -137,7 +137,7 @@
     def _take(self, record: KeyRecord, tell: bool) -> None:
         self._ring.merge(record, tell=tell)
         known = self._stored.get(record.key_id)
-        self._stored[record.key_id] = known.join(record) if known else record
+        self._stored[record.key_id] = known.merge(record) if known else record
 
     def _note_fault(self, fault: StoreFault) -> None:
         if self.cut_since is None:
--- a/quetzalcourse/coordination/manifest/key_spread.py
+++ b/quetzalcourse/coordination/manifest/key_spread.py
@@ -9,7 +9,7 @@
 
 from quetzalcourse.coordination.manifest.receivers import choose_receivers
 from quetzalcourse.state.members import Member, Topic
-from quetzalcourse.state.spread import KeyNews, SpreadKind
+from quetzalcourse.state.gossip import KeyMessage, GossipKind
 
 if TYPE_CHECKING:
     from random import Random
@@ -58,17 +58,17 @@
             return
         if now - self._asked >= ASK_AGAIN:
             self._asked = now
-            news = KeyNews(SpreadKind.ask, buckets=self._ring.buckets)
+            news = KeyMessage(GossipKind.ask, buckets=self._ring.buckets)
             self._send(sender, news)
 
     def _pass_on(self, record: KeyRecord) -> None:
-        news = KeyNews(SpreadKind.contents, records=[record])
+        news = KeyMessage(GossipKind.contents, records=[record])
         for member in choose_receivers(self._members, self._random):
             self._send(member, news)
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
-            news = msgspec.msgpack.decode(content, type=KeyNews)
+            news = msgspec.msgpack.decode(content, type=KeyMessage)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._counters.add('peer_messages_dropped', reason='keys')
             return
@@ -77,7 +77,7 @@
         fresh = len(news.records) == 1
         for record in news.records:
             self._ring.merge(record, tell=fresh)
-        if news.kind is SpreadKind.ask:
+        if news.kind is GossipKind.ask:
             self._answer(sender, news.buckets)
 
     def _answer(self, receiver: Member, buckets: list[int]) -> None:
@@ -86,8 +86,8 @@
         different = self._ring.list_different(buckets)
         for start in range(0, len(different), RECORDS_PER_MESSAGE):
             records = different[start : start + RECORDS_PER_MESSAGE]
-            self._send(receiver, KeyNews(SpreadKind.contents, records))
+            self._send(receiver, KeyMessage(GossipKind.contents, records))
 
-    def _send(self, receiver: Member, news: KeyNews) -> None:
+    def _send(self, receiver: Member, news: KeyMessage) -> None:
         content = msgspec.msgpack.encode(news)
         self._peers.send(receiver, Topic.keys, content)
--- a/quetzalcourse/coordination/manifest/keys.py
+++ b/quetzalcourse/coordination/manifest/keys.py
@@ -12,7 +12,7 @@
 import xxhash
 from result import Err, Ok, Result
 
-from quetzalcourse.state.keys import KeyRecord, bury
+from quetzalcourse.state.keys import KeyRecord, build_tombstone
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
         :returns: whether the change was news.
         """
         held = self.records.get(record.key_id)
-        joined = held.join(record) if held else record
+        joined = held.merge(record) if held else record
         if joined == held:
             return False
         self._count(joined)
@@ -92,7 +92,7 @@
 
     def withdraw(self, key_id: str) -> None:
         """Stop a key for good."""
-        self.merge(bury(key_id))
+        self.merge(build_tombstone(key_id))
 
     def is_withdrawn(self, key_id: str) -> bool:
         """Tell whether a key was stopped or is no longer granted."""
--- a/quetzalcourse/coordination/manifest/manifest_spread.py
+++ b/quetzalcourse/coordination/manifest/manifest_spread.py
@@ -15,7 +15,7 @@
 )
 from quetzalcourse.log import get_log
 from quetzalcourse.state.members import Member, Topic
-from quetzalcourse.state.spread import ManifestNews, SpreadKind
+from quetzalcourse.state.gossip import ManifestMessage, GossipKind
 
 if TYPE_CHECKING:
     from random import Random
@@ -86,30 +86,30 @@
             return
         if now - self._asked >= ASK_AGAIN:
             self._asked = now
-            self._send(self._best[1], SpreadKind.ask)
+            self._send(self._best[1], GossipKind.ask)
 
     def _announce(self, _: Manifest) -> None:
         for member in choose_receivers(self._members, self._random):
-            self._send(member, SpreadKind.announce)
+            self._send(member, GossipKind.announce)
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
-            news = msgspec.msgpack.decode(content, type=ManifestNews)
+            news = msgspec.msgpack.decode(content, type=ManifestMessage)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._counters.add('peer_messages_dropped', reason='manifest')
             return
-        if news.kind is SpreadKind.announce:
+        if news.kind is GossipKind.announce:
             self._hear(sender, news.version)
-        elif news.kind is SpreadKind.ask:
+        elif news.kind is GossipKind.ask:
             self._send_head(sender)
-        elif news.kind is SpreadKind.head:
+        elif news.kind is GossipKind.head:
             self._take_head(sender, news)
-        elif news.kind is SpreadKind.want:
+        elif news.kind is GossipKind.want:
             self._send_contents(sender, news.wanted)
         else:
             self._take_contents(news)
 
-    def _take_head(self, sender: Member, news: ManifestNews) -> None:
+    def _take_head(self, sender: Member, news: ManifestMessage) -> None:
         newest = self._keeper.current.version
         if self._pending is not None:
             newest = max(newest, self._pending.version - 1)
@@ -127,10 +127,10 @@
         missing = sorted(set(wanted) - set(self._contents))
         if missing:
             version = self._keeper.head.version
-            news = ManifestNews(SpreadKind.want, version, wanted=missing)
+            news = ManifestMessage(GossipKind.want, version, wanted=missing)
             self._send_news(sender, news)
 
-    def _take_contents(self, news: ManifestNews) -> None:
+    def _take_contents(self, news: ManifestMessage) -> None:
         if self._pending is not None:
             known = set(self._pending.sections.values())
             for digest, content in news.contents.items():
@@ -152,8 +152,8 @@
 
     def _send_head(self, receiver: Member) -> None:
         head = self._keeper.head
-        news = ManifestNews(
-            SpreadKind.head, head.version, head.sections, head.accepted
+        news = ManifestMessage(
+            GossipKind.head, head.version, head.sections, head.accepted
         )
         self._send_news(receiver, news)
 
@@ -175,13 +175,13 @@
 
     def _send_batch(self, receiver: Member, batch: dict[str, bytes]) -> None:
         version = self._keeper.head.version
-        news = ManifestNews(SpreadKind.contents, version, contents=batch)
+        news = ManifestMessage(GossipKind.contents, version, contents=batch)
         self._send_news(receiver, news)
 
-    def _send(self, receiver: Member, kind: SpreadKind) -> None:
+    def _send(self, receiver: Member, kind: GossipKind) -> None:
         version = self._keeper.head.version
-        self._send_news(receiver, ManifestNews(kind, version))
+        self._send_news(receiver, ManifestMessage(kind, version))
 
-    def _send_news(self, receiver: Member, news: ManifestNews) -> None:
+    def _send_news(self, receiver: Member, news: ManifestMessage) -> None:
         content = msgspec.msgpack.encode(news)
         self._peers.send(receiver, Topic.manifest, content)
--- a/quetzalcourse/coordination/membership/membership.py
+++ b/quetzalcourse/coordination/membership/membership.py
@@ -12,11 +12,11 @@
 from quetzalcourse.coordination.membership.roster import Roster
 from quetzalcourse.log import get_log
 from quetzalcourse.state.heartbeats import (
-    Change,
+    MemberUpdate,
     Heartbeat,
     HeartbeatKind,
-    Standing,
-    describe,
+    MemberStatus,
+    build_update,
 )
 from quetzalcourse.state.members import Member, Topic
 
@@ -136,9 +136,9 @@
         leaving = set(addresses)
         for change in self._roster.list_standing():
             if change.address in leaving and not change.leaving:
-                member = replace(change.read_member(), leaving=True)
+                member = replace(change.to_member(), leaving=True)
                 self._learn(
-                    describe(member, change.counter + 1, change.standing),
+                    build_update(member, change.counter + 1, change.standing),
                     self._clock.elapsed(),
                 )
         self._refresh()
@@ -155,7 +155,7 @@
     def announce_gone(self) -> None:
         """Tell some daemons that this one ends now."""
         self._counter += 1
-        change = describe(self.own, self._counter, Standing.gone)
+        change = build_update(self.own, self._counter, MemberStatus.gone)
         others = [peer for peer in self._live if peer != self.own]
         for peer in self._choose(others, RELAYS):
             self._send(peer, HeartbeatKind.answer, changes=[change])
@@ -191,7 +191,7 @@
             for helper in self._choose(helpers, RELAYS):
                 self._send(helper, HeartbeatKind.relay, subject=silent.address)
         for failed in self._probes.take_failed(now):
-            if self._roster.judge(failed, Standing.suspect, now):
+            if self._roster.judge(failed, MemberStatus.suspect, now):
                 self._counters.add('suspicions')
                 self._ping(failed, now)
         if self._roster.expire(self._plan.suspicion, now):
@@ -226,7 +226,7 @@
         doubts = self._list_doubts(target)
         self._send(target, HeartbeatKind.ping, changes=doubts)
 
-    def _list_doubts(self, member: Member) -> list[Change]:
+    def _list_doubts(self, member: Member) -> list[MemberUpdate]:
         """List what a daemon has to refute if it hears this."""
         held = self._roster.find(member.incarnation)
         return [held] if held is not None and held.standing else []
@@ -260,10 +260,10 @@
                 requester, HeartbeatKind.answer, subject=sender.incarnation
             )
         changed = self._roster.merge(
-            describe(sender, counter, Standing.alive), now
+            build_update(sender, counter, MemberStatus.alive), now
         )
         held = self._roster.find(sender.incarnation)
-        if held is not None and held.standing is not Standing.gone:
+        if held is not None and held.standing is not MemberStatus.gone:
             changed = self._end_replaced(sender, now) or changed
         return changed
 
@@ -272,16 +272,16 @@
         # before a VM's replacement would count as live until probes failed,
         # and they don't fail while its successor answers.
         replaced = [
-            change.read_member()
+            change.to_member()
             for change in self._roster.list_standing()
             if change.address == sender.address
             and change.incarnation != sender.incarnation
         ]
         for member in replaced:
-            self._roster.judge(member, Standing.gone, now)
+            self._roster.judge(member, MemberStatus.gone, now)
         return bool(replaced)
 
-    def _learn(self, change: Change, now: timedelta) -> bool:
+    def _learn(self, change: MemberUpdate, now: timedelta) -> bool:
         if change.incarnation == self.own.incarnation:
             self._refute(change)
             return False
@@ -289,7 +289,7 @@
             return False
         return self._roster.merge(change, now)
 
-    def _refute(self, change: Change) -> None:
+    def _refute(self, change: MemberUpdate) -> None:
         if change.counter < self._counter:
             return
         told_to_leave = change.leaving and not self.own.leaving
@@ -345,7 +345,7 @@
         self,
         receiver: Member,
         kind: HeartbeatKind,
-        changes: list[Change] | None = None,
+        changes: list[MemberUpdate] | None = None,
         subject: str = '',
         hashes: dict[str, int] | None = None,
     ) -> None:
@@ -373,14 +373,14 @@
         for listener in self._own_listeners:
             listener(own)
         self._counter += 1
-        change = describe(own, self._counter, Standing.alive)
+        change = build_update(own, self._counter, MemberStatus.alive)
         self._roster.record(change, self._clock.elapsed())
         self._refresh()
 
     def _refresh(self) -> None:
         standing = self._roster.list_standing()
         live = sorted(
-            (change.read_member() for change in standing),
+            (change.to_member() for change in standing),
             key=lambda member: member.incarnation,
         )
         if live == self._live:
--- a/quetzalcourse/coordination/membership/roster.py
+++ b/quetzalcourse/coordination/membership/roster.py
@@ -9,7 +9,11 @@
 
 import xxhash
 
-from quetzalcourse.state.heartbeats import Change, Standing, describe
+from quetzalcourse.state.heartbeats import (
+    MemberUpdate,
+    MemberStatus,
+    build_update,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,7 +31,7 @@
     :param since: when its standing last changed, by the own clock.
     """
 
-    change: Change
+    change: MemberUpdate
     since: timedelta
 
 
@@ -38,7 +42,7 @@
     :param repeats: in how many more messages it goes out.
     """
 
-    change: Change
+    change: MemberUpdate
     repeats: int
 
 
@@ -51,20 +55,20 @@
         self._rumours: dict[str, Rumour] = {}
         self._hashes: dict[str, int] | None = None
 
-    def find(self, incarnation: str) -> Change | None:
+    def find(self, incarnation: str) -> MemberUpdate | None:
         """Find the news that is held of a daemon."""
         entry = self.entries.get(incarnation)
         return entry.change if entry else None
 
-    def list_standing(self) -> list[Change]:
+    def list_standing(self) -> list[MemberUpdate]:
         """List the daemons that are not gone."""
         return [
             entry.change
             for entry in self.entries.values()
-            if entry.change.standing is not Standing.gone
+            if entry.change.standing is not MemberStatus.gone
         ]
 
-    def record(self, change: Change, now: timedelta) -> None:
+    def record(self, change: MemberUpdate, now: timedelta) -> None:
         """Hold news as it is, and pass it on."""
         self.entries[change.incarnation] = Entry(change, now)
         count = len(self.entries)
@@ -72,7 +76,7 @@
         self._rumours[change.incarnation] = Rumour(change, repeats)
         self._hashes = None
 
-    def merge(self, change: Change, now: timedelta) -> bool:
+    def merge(self, change: MemberUpdate, now: timedelta) -> bool:
         """Take news in if it says more than what is held.
 
         Others may have lost a daemon that is well heard here, as after a
@@ -82,22 +86,24 @@
         :returns: whether anything changed.
         """
         entry = self.entries.get(change.incarnation)
-        gone = change.standing is Standing.gone
+        gone = change.standing is MemberStatus.gone
         if entry is None:
             if not gone:
                 self.record(change, now)
             return not gone
         held = entry.change
-        if not change.beats(held):
+        if not change.supersedes(held):
             return False
-        if gone and held.standing is Standing.alive and not change.leaving:
-            change = describe(
-                change.read_member(), change.counter, Standing.suspect
+        if gone and held.standing is MemberStatus.alive and not change.leaving:
+            change = build_update(
+                change.to_member(), change.counter, MemberStatus.suspect
             )
         self.record(change, now)
         return True
 
-    def judge(self, member: Member, standing: Standing, now: timedelta) -> bool:
+    def judge(
+        self, member: Member, standing: MemberStatus, now: timedelta
+    ) -> bool:
         """Change the standing of a daemon on own evidence.
 
         :returns: whether the evidence changed anything.
@@ -105,7 +111,7 @@
         held = self.find(member.incarnation)
         if held is None or held.standing >= standing:
             return False
-        self.record(describe(held.read_member(), held.counter, standing), now)
+        self.record(build_update(held.to_member(), held.counter, standing), now)
         return True
 
     def expire(self, suspicion: timedelta, now: timedelta) -> bool:
@@ -117,10 +123,10 @@
         for incarnation, entry in tuple(self.entries.items()):
             age = now - entry.since
             standing = entry.change.standing
-            if standing is Standing.suspect and age >= suspicion:
-                member = entry.change.read_member()
-                changed = self.judge(member, Standing.gone, now) or changed
-            elif standing is Standing.gone and age >= FORGET_AFTER:
+            if standing is MemberStatus.suspect and age >= suspicion:
+                member = entry.change.to_member()
+                changed = self.judge(member, MemberStatus.gone, now) or changed
+            elif standing is MemberStatus.gone and age >= FORGET_AFTER:
                 self.entries.pop(incarnation)
         return changed
 
@@ -129,7 +135,7 @@
         for entry in self.entries.values():
             entry.since += pause
 
-    def take_rumours(self, count: int) -> list[Change]:
+    def take_rumours(self, count: int) -> list[MemberUpdate]:
         """Choose the news that was passed on least."""
         chosen = sorted(
             self._rumours.values(), key=lambda rumour: -rumour.repeats
@@ -153,7 +159,7 @@
             whole ^= part
         return whole
 
-    def list_different(self, hashes: dict[str, int]) -> list[Change]:
+    def list_different(self, hashes: dict[str, int]) -> list[MemberUpdate]:
         """List the news of the data centres whose hash is another one."""
         own = self.hash_parts()
         return [
@@ -164,7 +170,7 @@
         ]
 
 
-def _hash_parts(changes: Iterable[Change]) -> dict[str, int]:
+def _hash_parts(changes: Iterable[MemberUpdate]) -> dict[str, int]:
     hashes: dict[str, int] = {}
     for change in changes:
         text = f'{change.incarnation} {change.counter} {change.leaving}'
--- a/quetzalcourse/coordination/ports.py
+++ b/quetzalcourse/coordination/ports.py
@@ -25,7 +25,7 @@
     from quetzalcourse.state.fleet import FleetCount, FleetOrder
     from quetzalcourse.state.usage import FrozenReport
     from quetzalcourse.state.rows import (
-        Commit,
+        TransactionResult,
         FaultKind,
         Row,
         StoreFault,
@@ -33,7 +33,7 @@
     )
     from quetzalcourse.state.slots import (
         Allowance,
-        LoadKey,
+        QueueKey,
         SlotReport,
         SlotWaiter,
     )
@@ -64,7 +64,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows together if every condition holds."""
 
 
@@ -232,10 +232,10 @@
     def may_start(self, upstream: str, traffic_class: TrafficClass) -> bool:
         """Tell whether one more request may run on an upstream."""
 
-    def on_started(self, upstream: str, key: LoadKey) -> None:
+    def on_started(self, upstream: str, key: QueueKey) -> None:
         """Count a request that begins to run."""
 
-    def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
+    def on_released(self, upstream: str, key: QueueKey, tokens: int) -> None:
         """Count a request that runs no more.
 
         :param tokens: generated since it began to run.
--- a/quetzalcourse/coordination/quarantine/event_counts.py
+++ b/quetzalcourse/coordination/quarantine/crash_events.py
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from quetzalcourse.state.quarantine import UpstreamEnd, UpstreamRun
+    from quetzalcourse.state.quarantine import UpstreamCrash, UpstreamRun
 
 # Ends that follow each other faster may have one cause.
 EVENT_WINDOW = timedelta(milliseconds=300)
 MAX_RECENT = 1024
 
 
-class RecentEnds:
+class RecentCrashes:
     """The last upstreams that ended, under whatever request."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         """
         return self._ends.pop(run, None) is not None
 
-    def count_events(self, ends: Mapping[UpstreamRun, UpstreamEnd]) -> int:
+    def count_events(self, ends: Mapping[UpstreamRun, UpstreamCrash]) -> int:
         """Count the events among the ends under one request.
 
         Ends that only this request saw count one by one, however quickly they
@@ -55,7 +55,7 @@
 
     def _is_shared(
         self,
-        ends: Mapping[UpstreamRun, UpstreamEnd],
+        ends: Mapping[UpstreamRun, UpstreamCrash],
         first: timedelta,
         last: timedelta,
     ) -> bool:
--- a/quetzalcourse/coordination/quarantine/end_updates.py
+++ b/quetzalcourse/coordination/quarantine/crash_updates.py
@@ -29,7 +29,7 @@
 SEND_DELAY = timedelta(milliseconds=10)
 
 
-class EndReport(msgspec.Struct, frozen=True, array_like=True):
+class CrashReport(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon learned of a request.
 
     :param run: run of an upstream that ended under it, ``None`` if an upstream
@@ -42,13 +42,13 @@
     address: str = ''
 
 
-class EndsUpdate(msgspec.Struct, frozen=True):
+class CrashReportBatch(msgspec.Struct, frozen=True):
     """Reports in the order in which they were made."""
 
-    reports: list[EndReport]
+    reports: list[CrashReport]
 
 
-class EndUpdates:
+class CrashUpdates:
     """Sends ends and answers to the other daemons and takes theirs."""
 
     def __init__(
@@ -63,41 +63,41 @@
         self._members = members
         self._peers = peers
         self._clock = clock
-        self._reports: list[EndReport] = []
+        self._reports: list[CrashReport] = []
         self._tasks = Tasks('end updates')
-        quarantine.on_own_end(self.tell_end)
-        quarantine.on_own_answer(self.tell_answer)
+        quarantine.on_local_crash(self.tell_end)
+        quarantine.on_local_answer(self.tell_answer)
         peers.subscribe(Topic.upstream_ends, self.on_message)
 
     def tell_end(
         self, fingerprint: str, run: UpstreamRun, address: str
     ) -> None:
         """Tell that an upstream ended under a request."""
-        self._tell(EndReport(fingerprint, run, address))
+        self._tell(CrashReport(fingerprint, run, address))
 
     def tell_answer(self, fingerprint: str) -> None:
         """Tell that an upstream answered a request."""
-        self._tell(EndReport(fingerprint))
+        self._tell(CrashReport(fingerprint))
 
     def on_message(self, _: Member, content: bytes) -> None:
         """Take what another daemon learned."""
-        update = msgspec.msgpack.decode(content, type=EndsUpdate)
+        update = msgspec.msgpack.decode(content, type=CrashReportBatch)
         for report in update.reports:
             if report.run is None:
                 self._quarantine.lift(report.fingerprint, 'answered elsewhere')
             else:
-                self._quarantine.records.on_end(
+                self._quarantine.records.on_crash(
                     report.fingerprint, report.run, report.address
                 )
 
-    def _tell(self, report: EndReport) -> None:
+    def _tell(self, report: CrashReport) -> None:
         self._reports.append(report)
         if len(self._reports) == 1:
             self._tasks.begin(self._send())
 
     async def _send(self) -> None:
         await self._clock.sleep(SEND_DELAY)
-        content = msgspec.msgpack.encode(EndsUpdate(self._reports))
+        content = msgspec.msgpack.encode(CrashReportBatch(self._reports))
         self._reports = []
         for member in self._members.list_live():
             if member.vm != self._members.own.vm:
--- a/quetzalcourse/coordination/quarantine/quarantine.py
+++ b/quetzalcourse/coordination/quarantine/quarantine.py
@@ -32,7 +32,7 @@
     async def claim(self, fingerprint: str) -> bool:
         """Claim the next trial for this daemon."""
 
-    def begin_claim(self, fingerprint: str) -> None:
+    def schedule_claim(self, fingerprint: str) -> None:
         """Claim it without waiting, for :meth:`Quarantine.allow_trial`."""
 
 
@@ -43,7 +43,7 @@
         """Claim no trial."""
         return False
 
-    def begin_claim(self, _: str) -> None:
+    def schedule_claim(self, _: str) -> None:
         """Claim no trial."""
 
 
@@ -66,11 +66,11 @@
         self._allowed: set[str] = set()
         self._seen_here: set[str] = set()
 
-    def on_own_end(self, listener: EndListener) -> None:
+    def on_local_crash(self, listener: EndListener) -> None:
         """Call a listener with each end that this daemon sees itself."""
         self._end_listeners.append(listener)
 
-    def on_own_answer(self, listener: Listener) -> None:
+    def on_local_answer(self, listener: Listener) -> None:
         """Call a listener when a request with a record is answered here."""
         self._answer_listeners.append(listener)
 
@@ -93,7 +93,7 @@
             self._allowed.discard(fingerprint)
             return True
         if state is RequestState.due:
-            self.trials.begin_claim(fingerprint)
+            self.trials.schedule_claim(fingerprint)
         return False
 
     async def admit(
@@ -147,22 +147,24 @@
         """Learn that an upstream runs a request no more."""
         self._isolation.on_finish(fingerprint, upstream)
 
-    def on_end(self, fingerprint: str, run: UpstreamRun, address: str) -> None:
+    def on_crash(
+        self, fingerprint: str, run: UpstreamRun, address: str
+    ) -> None:
         """Learn that an upstream ended while it ran a request sent here.
 
         :param address: where the upstream listened.
         """
         self._counters.add('upstream_ends')
-        if self.records.on_end(fingerprint, run, address):
+        if self.records.on_crash(fingerprint, run, address):
             self._seen_here.add(fingerprint)
             for listener in self._end_listeners:
                 listener(fingerprint, run, address)
 
-    def on_return(self, run: UpstreamRun, address: str) -> None:
+    def on_restart(self, run: UpstreamRun, address: str) -> None:
         """Learn that a run of an upstream has begun at an address."""
         if not len(self.records):
             return
-        for fingerprint in self.records.on_return(run, address):
+        for fingerprint in self.records.on_restart(run, address):
             self._show(fingerprint)
             if fingerprint in self._seen_here:
                 for listener in self._quarantine_listeners:
--- a/quetzalcourse/coordination/quarantine/quarantine_rows.py
+++ b/quetzalcourse/coordination/quarantine/quarantine_store.py
@@ -29,11 +29,11 @@
 
 TABLE = 'quarantine'
 PREFIX = f'{TABLE}//'
-RETRY = timedelta(milliseconds=500)
+RETRY_DELAY = timedelta(milliseconds=500)
 # A row that is missing after that time is written by any daemon.
-IDLE = timedelta(seconds=5)
+SYNC_INTERVAL = timedelta(seconds=5)
 # Changes of the table are rare, and daemons tell each other beforehand.
-FEED_WAIT = timedelta(seconds=2)
+FEED_POLL_TIMEOUT = timedelta(seconds=2)
 # Time for which a row that is lifted may still appear.
 LIFTED_TTL = timedelta(seconds=5)
 MILLISECOND = timedelta(milliseconds=1)
@@ -54,7 +54,7 @@
     trials: int = 0
 
 
-class QuarantineRows:
+class QuarantineStore:
     """Writes the quarantines of this daemon, and takes those of all."""
 
     def __init__(
@@ -78,7 +78,7 @@
         self._tasks = Tasks('quarantine')
         follower.on_rows(self.on_rows)
         quarantine.on_quarantine(self._on_quarantine)
-        quarantine.on_own_answer(self._on_answer)
+        quarantine.on_local_answer(self._on_answer)
         quarantine.trials = self
 
     def on_rows(self, rows: list[Row]) -> None:
@@ -96,12 +96,12 @@
     async def run(self) -> None:
         """Bring the store in line with this daemon's quarantine."""
         while True:
-            await wait_event(self._wake, IDLE)
+            await wait_event(self._wake, SYNC_INTERVAL)
             self._wake.clear()
             while self._is_behind():
                 await self._write_missing()
                 await self._remove_lifted()
-                await self._clock.sleep(RETRY)
+                await self._clock.sleep(RETRY_DELAY)
 
     def _on_quarantine(self, fingerprint: str) -> None:
         self._lifted.pop(fingerprint, None)
@@ -112,7 +112,7 @@
         self._lifted[fingerprint] = self._clock.elapsed()
         self._wake.set()
 
-    def begin_claim(self, fingerprint: str) -> None:
+    def schedule_claim(self, fingerprint: str) -> None:
         """Claim the trial of a request without waiting."""
         if fingerprint not in self._claims:
             self._claims.add(fingerprint)
--- a/quetzalcourse/coordination/quarantine/records.py
+++ b/quetzalcourse/coordination/quarantine/records.py
@@ -16,11 +16,11 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.quarantine.event_counts import RecentEnds
+from quetzalcourse.coordination.quarantine.crash_events import RecentCrashes
 from quetzalcourse.state.quarantine import (
     RequestRecord,
     RequestState,
-    UpstreamEnd,
+    UpstreamCrash,
 )
 
 if TYPE_CHECKING:
@@ -30,15 +30,15 @@
     from quetzalcourse.state.quarantine import UpstreamRun
 
 # Upstreams that may end under a request before it is quarantined.
-MAX_ENDS = 3
+MAX_CRASHES = 3
 # Ends after which a request runs apart from other suspects.
-SUSPECT_ENDS = 2
+SUSPECT_CRASHES = 2
 # Time in which another run takes the place of an upstream that ended.
 UNCONFIRMED_TTL = timedelta(seconds=15)
 # Age at which ends without an answer in between are forgotten.
 RECORD_TTL = timedelta(minutes=10)
 # Quarantine before the first trial, doubled with each trial.
-QUARANTINE_TIME = timedelta(minutes=10)
+BASE_QUARANTINE_TIME = timedelta(minutes=10)
 # A request that has failed as many trials waits for an operator, or until
 # its record is forgotten.
 MAX_TRIALS = 3
@@ -46,7 +46,7 @@
 # Requests that are remembered; the oldest that are not quarantined go first.
 MAX_RECORDS = 4096
 # Names and addresses of ended upstreams where another run may begin.
-MAX_PLACES = 4096
+MAX_UNCONFIRMED_KEYS = 4096
 
 
 class QuarantineRecords:
@@ -56,7 +56,7 @@
         """Begin without a record."""
         self._clock = clock
         self._records: dict[str, RequestRecord] = {}
-        self._recent = RecentEnds()
+        self._recent = RecentCrashes()
         self._unconfirmed: dict[str, set[str]] = {}
 
     def __len__(self) -> int:
@@ -69,7 +69,7 @@
         if record is None:
             return None
         self._drop_unconfirmed(record)
-        known = record.ends or record.quarantined_until is not None
+        known = record.crashes or record.quarantined_until is not None
         if known and not self._is_outdated(record):
             return record
         self._records.pop(fingerprint)
@@ -85,11 +85,11 @@
             if due and record.trials < MAX_TRIALS:
                 return RequestState.due
             return RequestState.quarantined
-        count = self._recent.count_events(record.ends)
-        unconfirmed = not all(end.confirmed for end in record.ends.values())
-        if count >= MAX_ENDS and unconfirmed:
+        count = self._recent.count_events(record.crashes)
+        unconfirmed = not all(end.confirmed for end in record.crashes.values())
+        if count >= MAX_CRASHES and unconfirmed:
             return RequestState.held
-        if count >= SUSPECT_ENDS:
+        if count >= SUSPECT_CRASHES:
             return RequestState.suspect
         return RequestState.sound
 
@@ -115,33 +115,35 @@
     def list_upstreams(self, fingerprint: str) -> list[str]:
         """Name the upstreams that ended under a request."""
         record = self.find(fingerprint)
-        return sorted(name for name, _ in record.ends) if record else []
+        return sorted(name for name, _ in record.crashes) if record else []
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Tell whether a request is quarantined, on trial or not."""
         record = self.find(fingerprint)
         return record is not None and record.quarantined_until is not None
 
-    def on_end(self, fingerprint: str, run: UpstreamRun, address: str) -> bool:
+    def on_crash(
+        self, fingerprint: str, run: UpstreamRun, address: str
+    ) -> bool:
         """Learn that an upstream seems to have ended under a request.
 
         :returns: whether that is new.
         """
         record = self.find(fingerprint) or self._add(fingerprint)
-        if run in record.ends:
+        if run in record.crashes:
             return False
         now = self._clock.elapsed()
-        record.ends[run] = UpstreamEnd(now, address)
+        record.crashes[run] = UpstreamCrash(now, address)
         for place in (address, run[0]):
             self._unconfirmed.setdefault(place, set()).add(fingerprint)
-        if len(self._unconfirmed) > MAX_PLACES:
+        if len(self._unconfirmed) > MAX_UNCONFIRMED_KEYS:
             self._unconfirmed.pop(next(iter(self._unconfirmed)))
         self._recent.add(run, now)
         if record.quarantined_until is None:
             record.changed_at = now
         return True
 
-    def on_return(self, run: UpstreamRun, address: str) -> list[str]:
+    def on_restart(self, run: UpstreamRun, address: str) -> list[str]:
         """Learn that a run of an upstream begins at an address.
 
         :returns: requests that are quarantined by what that confirms.
@@ -160,7 +162,7 @@
         if not self._recent.remove(run):
             return
         for record in self._records.values():
-            record.ends.pop(run, None)
+            record.crashes.pop(run, None)
 
     def quarantine(
         self, fingerprint: str, age: timedelta, trials: int = 0
@@ -185,10 +187,10 @@
         record = self._records[fingerprint]
         ended = [
             end
-            for known, end in record.ends.items()
+            for known, end in record.crashes.items()
             if known != run and (end.address == address or known[0] == run[0])
         ]
-        if run in record.ends:
+        if run in record.crashes:
             # The same run registers again, as after a partition.
             self._unconfirmed.setdefault(address, set()).add(fingerprint)
         for end in ended:
@@ -203,20 +205,20 @@
         if record.quarantined_until is not None:
             return False
         confirmed = {
-            run: end for run, end in record.ends.items() if end.confirmed
+            run: end for run, end in record.crashes.items() if end.confirmed
         }
         count = self._recent.count_events(confirmed)
-        if count < MAX_ENDS:
+        if count < MAX_CRASHES:
             return False
         rivals = self._list_rivals(record, confirmed)
-        if any(len(rival.ends) > len(record.ends) for rival in rivals):
+        if any(len(rival.crashes) > len(record.crashes) for rival in rivals):
             return False
-        return count > MAX_ENDS or not rivals
+        return count > MAX_CRASHES or not rivals
 
     def _list_rivals(
         self,
         record: RequestRecord,
-        confirmed: Mapping[UpstreamRun, UpstreamEnd],
+        confirmed: Mapping[UpstreamRun, UpstreamCrash],
     ) -> list[RequestRecord]:
         """List other requests that ran on all upstreams that ended under one.
 
@@ -225,19 +227,19 @@
         return [
             other
             for other in self._records.values()
-            if other is not record and confirmed.keys() <= other.ends.keys()
+            if other is not record and confirmed.keys() <= other.crashes.keys()
         ]
 
     def _drop_unconfirmed(self, record: RequestRecord) -> None:
         oldest = self._clock.elapsed() - UNCONFIRMED_TTL
         outdated = [
             run
-            for run, end in record.ends.items()
+            for run, end in record.crashes.items()
             if not end.confirmed and end.at < oldest
         ]
         if record.quarantined_until is None:
             for run in outdated:
-                record.ends.pop(run)
+                record.crashes.pop(run)
 
     def _add(self, fingerprint: str) -> RequestRecord:
         if len(self._records) >= MAX_RECORDS:
@@ -265,4 +267,4 @@
 
 def find_duration(trials: int) -> timedelta:
     """Tell how long a quarantine lasts before its next trial."""
-    return QUARANTINE_TIME * 2**trials
+    return BASE_QUARANTINE_TIME * 2**trials
--- a/quetzalcourse/coordination/requests/generation.py
+++ b/quetzalcourse/coordination/requests/generation.py
@@ -30,7 +30,9 @@
     from collections.abc import AsyncIterator
 
     from quetzalcourse.coordination.slots.admission import Admission
-    from quetzalcourse.coordination.routing.health import Health
+    from quetzalcourse.coordination.routing.outlier_detection import (
+        OutlierDetector,
+    )
     from quetzalcourse.coordination.ports import Engines
     from quetzalcourse.coordination.requests.retries import RetryBudget
     from quetzalcourse.coordination.routing.routing import Router
@@ -56,7 +58,7 @@
         self,
         admission: Admission,
         router: Router,
-        health: Health,
+        health: OutlierDetector,
         budget: RetryBudget,
         engines: Engines,
         clock: Clock,
@@ -123,7 +125,7 @@
                 raise work.correct(error) from error
             # The engine may have failed while this request waited for it.
             name = grant.upstream.name
-            if self._health.admits(name) and self._router.is_open(name):
+            if self._health.admits(name) and self._router.is_available(name):
                 self._check_time(grant, work)
                 return grant
             self._admission.release(grant)
@@ -147,7 +149,7 @@
             raise work.refuse_route()
         admitted = [name for name in ranked if self._health.admits(name)]
         if not admitted:
-            raise work.refuse_failed(self._health.measure_wait(ranked))
+            raise work.refuse_failed(self._health.find_retry_delay(ranked))
         fresh = [name for name in admitted if name not in work.failed]
         return tuple(fresh or admitted)
 
@@ -261,7 +263,7 @@
         account = work.request.client_account
         if work.is_hopeless or not self._budget.spend(account):
             raise work.refuse_failed(
-                self._health.measure_wait((error.peer,))
+                self._health.find_retry_delay((error.peer,))
             ) from error
         self._counters.add('retries')
 
@@ -274,7 +276,7 @@
         self._counters.add('attempts_interrupted', reason=kind.value)
         work.on_interrupted()
         if kind is Interruption.late:
-            raise work.refuse_late()
+            raise work.build_deadline_refusal()
 
 
 def _break_attempt(peer: str) -> AttemptError:
--- a/quetzalcourse/coordination/requests/idempotency.py
+++ b/quetzalcourse/coordination/requests/idempotency.py
@@ -26,7 +26,7 @@
     from result import Result
 
     from quetzalcourse.coordination.ports import Table
-    from quetzalcourse.state.rows import Commit, StoreFault
+    from quetzalcourse.state.rows import TransactionResult, StoreFault
 
 MAX_TRIES = 3
 ASK_AGAIN = timedelta(seconds=5)
@@ -146,7 +146,7 @@
         version: int,
         state: ClaimState,
         status: int = 0,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         content = ClaimContent(call.request_id, call.digest, state, status)
         return await self._table.transact(
             Transaction(
@@ -158,7 +158,7 @@
     async def _find_row(
         self,
         call: KeyedCall,
-        answer: Result[Commit, StoreFault],
+        answer: Result[TransactionResult, StoreFault],
     ) -> Row | None:
         if isinstance(answer, Ok):
             conflicts = answer.ok_value.conflicts
--- a/quetzalcourse/coordination/requests/interruptions.py
+++ b/quetzalcourse/coordination/requests/interruptions.py
@@ -10,7 +10,7 @@
 from quetzalcourse.state.generation import TrafficClass
 
 if TYPE_CHECKING:
-    from quetzalcourse.coordination.routing.leaving import Departure
+    from quetzalcourse.coordination.routing.drain_tracker import DrainNotice
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.generation import GenerationRequest
     from quetzalcourse.state.slots import Grant
@@ -57,7 +57,7 @@
             task.cancel()
         self._watches[watch.grant.upstream.name].discard(watch)
 
-    def on_departure(self, departure: Departure) -> None:
+    def on_departure(self, departure: DrainNotice) -> None:
         """Move the streams of a leaving upstream elsewhere.
 
         Human callers' streams are short and finish in place while there is
--- a/quetzalcourse/coordination/requests/services.py
+++ b/quetzalcourse/coordination/requests/services.py
@@ -19,7 +19,9 @@
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.slots.admission import Admission
-    from quetzalcourse.coordination.routing.health import Health
+    from quetzalcourse.coordination.routing.outlier_detection import (
+        OutlierDetector,
+    )
     from quetzalcourse.coordination.requests.retries import RetryBudget
     from quetzalcourse.coordination.routing.routing import Router
     from quetzalcourse.coordination.usage.usage import UsageCounter
@@ -69,7 +71,7 @@
         self,
         admission: Admission,
         router: Router,
-        health: Health,
+        health: OutlierDetector,
         budget: RetryBudget,
         clock: Clock,
     ) -> None:
@@ -127,7 +129,7 @@
             except RefusedError as error:
                 raise RefusedError(correct(error.refusal, call)) from error
             name = grant.upstream.name
-            if self._health.admits(name) and self._router.is_open(name):
+            if self._health.admits(name) and self._router.is_available(name):
                 self._begin(call, name)
                 return grant
             self._admission.release(grant)
@@ -176,7 +178,7 @@
 
     def _rank(self, call: ServiceCall) -> tuple[str, ...]:
         names = self.find(call.service).upstreams
-        is_open = [name for name in names if self._router.is_open(name)]
+        is_open = [name for name in names if self._router.is_available(name)]
         admitted = [name for name in is_open if self._health.admits(name)]
         if not admitted:
             raise RefusedError(self._refuse_closed(call, is_open))
@@ -198,7 +200,7 @@
         return call.deadline <= self._clock.elapsed()
 
     def _refuse_closed(self, call: ServiceCall, names: list[str]) -> Refusal:
-        wait = self._health.measure_wait(names)
+        wait = self._health.find_retry_delay(names)
         return Refusal(
             RefusalCode.upstream_failed,
             'No upstream of the service can be tried now.',
--- a/quetzalcourse/coordination/requests/work.py
+++ b/quetzalcourse/coordination/requests/work.py
@@ -105,7 +105,7 @@
             max(wait, SHORTEST_WAIT),
         )
 
-    def refuse_late(self) -> RefusedError:
+    def build_deadline_refusal(self) -> RefusedError:
         """Give up since the caller's deadline has passed."""
         return self._refuse(
             RefusalCode.deadline_exceeded,
--- a/quetzalcourse/coordination/routing/leaving.py
+++ b/quetzalcourse/coordination/routing/drain_tracker.py
@@ -15,11 +15,11 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Vm
 
-LEAD = timedelta(seconds=60)
+MAINTENANCE_LEAD_TIME = timedelta(seconds=60)
 
 
 @dataclass(frozen=True, slots=True)
-class Departure:
+class DrainNotice:
     """An upstream that began to leave.
 
     :param humans: whether human callers' streams have to move as well.
@@ -29,7 +29,7 @@
     humans: bool
 
 
-class Leaving:
+class DrainTracker:
     """Knows the leaving upstreams from three sources.
 
     These are the upstream's own notice, the platform's list of VMs and the
@@ -65,15 +65,15 @@
             known for vm in leaving for known in (vm.vm, vm.address)
         )
 
-    def is_leaving(self, name: str) -> bool:
+    def is_draining(self, name: str) -> bool:
         """Tell whether an upstream gets no new work."""
         return name in self._leaving
 
-    def list_leaving(self) -> list[str]:
+    def list_draining(self) -> list[str]:
         """Name the leaving upstreams."""
         return sorted(self._leaving)
 
-    def check(self) -> list[Departure]:
+    def check(self) -> list[DrainNotice]:
         """Look at all sources again.
 
         :returns: upstreams whose streams have to move since the last look.
@@ -81,7 +81,7 @@
         before = self._leaving
         self._leaving = self._collect()
         return [
-            Departure(name, humans)
+            DrainNotice(name, humans)
             for name, humans in self._leaving.items()
             if name not in before or humans != before[name]
         ]
@@ -103,5 +103,5 @@
         return {
             window.upstream: window.starts <= now
             for window in self._manifest.maintenance
-            if window.starts - LEAD <= now < window.ends
+            if window.starts - MAINTENANCE_LEAD_TIME <= now < window.ends
         }
--- a/quetzalcourse/coordination/routing/observer.py
+++ b/quetzalcourse/coordination/routing/engine_poller.py
@@ -14,19 +14,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quetzalcourse.coordination.routing.leaving import Departure, Leaving
+    from quetzalcourse.coordination.routing.drain_tracker import (
+        DrainNotice,
+        DrainTracker,
+    )
     from quetzalcourse.coordination.ports import EngineControl
-    from quetzalcourse.coordination.routing.prefixes import PrefixHints
+    from quetzalcourse.coordination.routing.prefixes import PrefixCacheHints
     from quetzalcourse.coordination.routing.reports import EngineReports
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
 
-INTERVAL = timedelta(seconds=1)
-FAR_ROUNDS = 2
-MAX_MISSED = 3
+POLL_INTERVAL = timedelta(seconds=1)
+REMOTE_POLL_ROUNDS = 2
+MAX_MISSED_REPORTS = 3
 
 
-class Observer:
+class EnginePoller:
     """Asks the engines for their reports once a second.
 
     Engines of other data centres are asked every other time, since they
@@ -42,9 +45,9 @@
         self,
         data_centre: str,
         control: EngineControl,
-        leaving: Leaving,
+        drain_tracker: DrainTracker,
         reports: EngineReports,
-        prefixes: PrefixHints,
+        prefixes: PrefixCacheHints,
         clock: Clock,
         counters: Counters,
         running: Callable[[str], int],
@@ -52,7 +55,7 @@
         """Begin without upstreams."""
         self._data_centre = data_centre
         self._control = control
-        self._leaving = leaving
+        self._drain_tracker = drain_tracker
         self._reports = reports
         self._prefixes = prefixes
         self._clock = clock
@@ -60,16 +63,16 @@
         self._running = running
         self._manifest = Manifest()
         self._missed: dict[str, int] = {}
-        self._listeners: list[Callable[[Departure], None]] = []
+        self._listeners: list[Callable[[DrainNotice], None]] = []
 
-    def on_departure(self, listener: Callable[[Departure], None]) -> None:
+    def on_drain(self, listener: Callable[[DrainNotice], None]) -> None:
         """Call a listener when an upstream begins to leave."""
         self._listeners.append(listener)
 
     def on_manifest(self, manifest: Manifest) -> None:
         """Take the upstreams and windows of a manifest."""
         self._manifest = manifest
-        self._leaving.on_manifest(manifest)
+        self._drain_tracker.on_manifest(manifest)
         self._check()
 
     async def run(self) -> None:
@@ -77,23 +80,24 @@
         began = self._clock.elapsed()
         rounds = 0
         while True:
-            await self.observe_all(far=rounds % FAR_ROUNDS == 0)
+            await self.poll_all(include_remote=rounds % REMOTE_POLL_ROUNDS == 0)
             # An engine that hangs delays its round, which must not put off
             # the rounds after it.
             now = self._clock.elapsed()
-            rounds = max(rounds + 1, (now - began) // INTERVAL)
-            await self._clock.sleep(began + INTERVAL * rounds - now)
+            rounds = max(rounds + 1, (now - began) // POLL_INTERVAL)
+            await self._clock.sleep(began + POLL_INTERVAL * rounds - now)
 
-    async def observe_all(self, *, far: bool) -> None:
+    async def poll_all(self, *, include_remote: bool) -> None:
         """Ask the engines once.
 
-        :param far: whether those of other data centres are asked as well.
+        :param include_remote: whether to poll engines of other data centres
+            too.
         """
         wanted = [
             upstream
             for upstream in self._manifest.upstreams.values()
             if upstream.kind is UpstreamKind.engine
-            and (far or upstream.data_centre == self._data_centre)
+            and (include_remote or upstream.data_centre == self._data_centre)
         ]
         await asyncio.gather(*(self._observe(one) for one in wanted))
         self._check()
@@ -107,8 +111,8 @@
         report = answer.ok_value
         self._missed[name] = 0
         self._reports.on_report(name, report, self._running(name))
-        self._leaving.on_notice(name, leaving=report.leaving)
-        after = self._prefixes.read_sequence(name)
+        self._drain_tracker.on_notice(name, leaving=report.leaving)
+        after = self._prefixes.find_last_sequence(name)
         changes = await self._control.list_changes(upstream, after)
         if isinstance(changes, Ok):
             self._prefixes.on_changes(name, changes.ok_value)
@@ -117,16 +121,16 @@
         self._counters.add('reports_missed', upstream=name)
         missed = self._missed.get(name, 0) + 1
         self._missed[name] = missed
-        if missed >= MAX_MISSED:
-            self._reports.on_lost(name)
+        if missed >= MAX_MISSED_REPORTS:
+            self._reports.discard(name)
         # Nobody listens there, so whoever listens next begins with an empty
         # cache and counts its changes from one again.
-        if missed >= MAX_MISSED or problem is OrderProblem.not_sent:
+        if missed >= MAX_MISSED_REPORTS or problem is OrderProblem.not_sent:
             self._prefixes.on_restart(name)
 
     def _check(self) -> None:
-        for departure in self._leaving.check():
+        for departure in self._drain_tracker.check():
             for listener in self._listeners:
                 listener(departure)
-        leaving = len(self._leaving.list_leaving())
+        leaving = len(self._drain_tracker.list_draining())
         self._counters.set('upstreams_leaving', leaving)
--- a/quetzalcourse/coordination/routing/health.py
+++ b/quetzalcourse/coordination/routing/outlier_detection.py
@@ -16,11 +16,11 @@
     from quetzalcourse.state.manifest import Manifest, UpstreamKind
 
 MAX_FAILURES = 3
-FIRST_PAUSE = timedelta(seconds=1)
-MAX_PAUSE = timedelta(seconds=30)
+BASE_EJECTION_TIME = timedelta(seconds=1)
+MAX_EJECTION_TIME = timedelta(seconds=30)
 MAX_DOUBLINGS = 5
-RESTORED_ALLOWANCE = 16
-LARGEST_SHARE = 0.5
+MAX_RECOVERY_ATTEMPTS = 16
+MAX_EJECTED_SHARE = 0.5
 PROBE_SHARE = 0.1
 SLOW_FACTOR = 4.0
 SLOW_SECONDS = 1.0
@@ -49,7 +49,7 @@
     samples: int = 0
 
 
-class Health:
+class OutlierDetector:
     """Takes failing and slow upstreams out and tries them again gently.
 
     :param clock: tells when an upstream may be tried again.
@@ -91,7 +91,7 @@
             return False
         return condition.allowance > 1 or self._may_probe()
 
-    def measure_wait(self, names: Iterable[str]) -> timedelta:
+    def find_retry_delay(self, names: Iterable[str]) -> timedelta:
         """Tell how long until the first of some upstreams may be tried."""
         now = self._clock.elapsed()
         waits = [
@@ -99,7 +99,7 @@
             for condition in map(self._conditions.get, names)
             if condition is not None and condition.retry_at is not None
         ]
-        return max(min(waits, default=FIRST_PAUSE), timedelta(0))
+        return max(min(waits, default=BASE_EJECTION_TIME), timedelta(0))
 
     def on_start(self, name: str) -> None:
         """Count an attempt that begins."""
@@ -167,7 +167,7 @@
         if condition.retry_at is None:
             return
         condition.allowance *= 2
-        if condition.allowance >= RESTORED_ALLOWANCE:
+        if condition.allowance >= MAX_RECOVERY_ATTEMPTS:
             condition.retry_at = None
             condition.allowance = 0
             condition.ejections = 0
@@ -176,7 +176,7 @@
 
     def _eject(self, name: str, condition: Condition) -> None:
         doublings = min(condition.ejections, MAX_DOUBLINGS)
-        pause = min(FIRST_PAUSE * 2**doublings, MAX_PAUSE)
+        pause = min(BASE_EJECTION_TIME * 2**doublings, MAX_EJECTION_TIME)
         spread = self._random.uniform(0.5, 1.0)
         condition.retry_at = self._clock.elapsed() + pause * spread
         condition.ejections += 1
@@ -199,7 +199,7 @@
         kind = self._kinds.get(name)
         alike = [one for one, other in self._kinds.items() if other is kind]
         out = sum(one in alike for one in self.list_ejected())
-        return out + 1 <= len(alike) * LARGEST_SHARE
+        return out + 1 <= len(alike) * MAX_EJECTED_SHARE
 
     def _is_slow(self, name: str, condition: Condition) -> bool:
         if condition.samples < MIN_SAMPLES:
--- a/quetzalcourse/coordination/routing/prefixes.py
+++ b/quetzalcourse/coordination/routing/prefixes.py
@@ -13,7 +13,7 @@
     from quetzalcourse.state.engines import CacheChange
 
 PREFIX_LENGTH = 64
-LARGEST_SET = 256
+MAX_PREFIXES = 256
 
 
 def hash_prefix(prompt: str) -> int:
@@ -36,7 +36,7 @@
         """Remember a prefix as the one used last."""
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > LARGEST_SET:
+        if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
     def remove(self, prefix: int) -> None:
@@ -79,7 +79,7 @@
             self._placed.remove(prefix)
 
 
-class PrefixHints:
+class PrefixCacheHints:
     """What is believed of all engines' caches, late and with gaps."""
 
     def __init__(self) -> None:
@@ -103,7 +103,7 @@
         prefixes = self._engines.get(name)
         return prefixes is not None and prefixes.holds(prefix)
 
-    def read_sequence(self, name: str) -> int:
+    def find_last_sequence(self, name: str) -> int:
         """Tell the sequence of the last change that was heard of."""
         prefixes = self._engines.get(name)
         return prefixes.sequence if prefixes else 0
--- a/quetzalcourse/coordination/routing/reports.py
+++ b/quetzalcourse/coordination/routing/reports.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimedReport:
+class OwnLoadReport:
     """A report and what this daemon had running when it came.
 
     :param own: this daemon's requests on the engine at that time.
@@ -26,16 +26,16 @@
 
     def __init__(self) -> None:
         """Begin without reports."""
-        self._reports: dict[str, TimedReport] = {}
+        self._reports: dict[str, OwnLoadReport] = {}
 
     def on_report(self, name: str, report: EngineReport, own: int) -> None:
         """Take a report.
 
         :param own: this daemon's requests on the engine at this time.
         """
-        self._reports[name] = TimedReport(report, own)
+        self._reports[name] = OwnLoadReport(report, own)
 
-    def on_lost(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Forget a report that became too old."""
         self._reports.pop(name, None)
 
--- a/quetzalcourse/coordination/routing/routing.py
+++ b/quetzalcourse/coordination/routing/routing.py
@@ -6,7 +6,10 @@
 
 import xxhash
 
-from quetzalcourse.coordination.routing.prefixes import PrefixHints, hash_prefix
+from quetzalcourse.coordination.routing.prefixes import (
+    PrefixCacheHints,
+    hash_prefix,
+)
 from quetzalcourse.coordination.routing.reports import EngineReports
 from quetzalcourse.state.generation import GenerationRequest, TrafficClass
 from quetzalcourse.state.manifest import Manifest, Upstream, UpstreamKind
@@ -14,9 +17,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quetzalcourse.coordination.routing.leaving import Leaving
+    from quetzalcourse.coordination.routing.drain_tracker import DrainTracker
 
-CROWDED_SHARE = 0.75
+HIGH_LOAD_SHARE = 0.75
 Rank = tuple[bool, bool, bool, int]
 
 
@@ -24,7 +27,7 @@
     """Chooses upstreams for requests.
 
     :param data_centre: where this daemon runs.
-    :param leaving: knows which upstreams get no new work.
+    :param drain_tracker: knows which upstreams get no new work.
     :param reports: what engines said of themselves.
     :param prefixes: what is believed of the engines' caches.
     """
@@ -32,15 +35,15 @@
     def __init__(
         self,
         data_centre: str,
-        leaving: Leaving | None = None,
+        drain_tracker: DrainTracker | None = None,
         reports: EngineReports | None = None,
-        prefixes: PrefixHints | None = None,
+        prefixes: PrefixCacheHints | None = None,
     ) -> None:
         """Begin without upstreams."""
         self._data_centre = data_centre
-        self._leaving = leaving
+        self._drain_tracker = drain_tracker
         self._reports = reports or EngineReports()
-        self._prefixes = prefixes or PrefixHints()
+        self._prefixes = prefixes or PrefixCacheHints()
         self._manifest = Manifest()
 
     def on_manifest(self, manifest: Manifest) -> None:
@@ -59,11 +62,14 @@
             for upstream in self._manifest.upstreams.values()
         )
 
-    def is_open(self, name: str) -> bool:
+    def is_available(self, name: str) -> bool:
         """Tell whether an upstream may get new work."""
         if name not in self._manifest.upstreams:
             return False
-        return self._leaving is None or not self._leaving.is_leaving(name)
+        return (
+            self._drain_tracker is None
+            or not self._drain_tracker.is_draining(name)
+        )
 
     def rank_engines(
         self,
@@ -82,7 +88,7 @@
             for upstream in self._manifest.upstreams.values()
             if _fits(upstream, request)
             and upstream.name not in excluded
-            and self.is_open(upstream.name)
+            and self.is_available(upstream.name)
         ]
         # Reports lag, so an engine that seems to have another version is
         # still asked when no other is left; it refuses before it runs.
@@ -115,7 +121,7 @@
         return (
             upstream.data_centre != self._data_centre,
             not warm,
-            busy > upstream.slots * CROWDED_SHARE,
+            busy > upstream.slots * HIGH_LOAD_SHARE,
             xxhash.xxh64_intdigest(f'{name}|{prefix}'.encode()),
         )
 
--- a/quetzalcourse/coordination/slots/admission.py
+++ b/quetzalcourse/coordination/slots/admission.py
@@ -19,7 +19,7 @@
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 from quetzalcourse.state.slots import (
     Grant,
-    LoadKey,
+    QueueKey,
     SlotRequest,
     SlotWaiter,
 )
@@ -245,7 +245,7 @@
             self._drop(waiter, _refuse_late())
         return min(map(_find_deadline, self._queue.walk()), default=None)
 
-    def _show_queue(self, key: LoadKey) -> None:
+    def _show_queue(self, key: QueueKey) -> None:
         self._counters.set(
             'queue_length',
             self._queue.count(key),
@@ -266,9 +266,9 @@
         )
 
 
-def make_key(client_account: str, traffic_class: TrafficClass) -> LoadKey:
+def make_key(client_account: str, traffic_class: TrafficClass) -> QueueKey:
     """Name the queue of an account's requests."""
-    return LoadKey(traffic_class, hash_name(client_account))
+    return QueueKey(traffic_class, hash_name(client_account))
 
 
 def _find_deadline(waiter: SlotWaiter) -> timedelta:
--- a/quetzalcourse/coordination/slots/division.py
+++ b/quetzalcourse/coordination/slots/division.py
@@ -12,7 +12,7 @@
     from collections.abc import Mapping
     from datetime import timedelta
 
-    from quetzalcourse.state.slots import LoadKey
+    from quetzalcourse.state.slots import QueueKey
 
 Name = TypeVar('Name')
 MIN_FACTOR = 0.5
@@ -28,7 +28,7 @@
     """
 
     requester: str
-    key: LoadKey
+    key: QueueKey
     wanted: int
     oldest: timedelta
 
@@ -55,9 +55,9 @@
     """
 
     weights: Mapping[int, float] = field(default_factory=dict)
-    served: Mapping[LoadKey, float] = field(default_factory=dict)
+    served: Mapping[QueueKey, float] = field(default_factory=dict)
 
-    def weigh(self, key: LoadKey) -> float:
+    def weigh(self, key: QueueKey) -> float:
         """Tell the weight of an account."""
         return self.weights.get(key.account_id, 1.0)
 
@@ -144,7 +144,7 @@
     claims: list[Claim],
     accounts: Accounts,
 ) -> dict[str, int]:
-    by_account: dict[LoadKey, list[Claim]] = defaultdict(list)
+    by_account: dict[QueueKey, list[Claim]] = defaultdict(list)
     for claim in claims:
         by_account[claim.key].append(claim)
     wanted = {
@@ -164,9 +164,9 @@
 
 def _divide_accounts(
     capacity: int,
-    wanted: Mapping[LoadKey, int],
+    wanted: Mapping[QueueKey, int],
     accounts: Accounts,
-) -> dict[LoadKey, int]:
+) -> dict[QueueKey, int]:
     weights = _correct_weights(wanted, accounts)
     shares = fill_fairly(capacity, wanted, weights)
     debts = {
@@ -177,9 +177,9 @@
 
 
 def _correct_weights(
-    wanted: Mapping[LoadKey, int],
+    wanted: Mapping[QueueKey, int],
     accounts: Accounts,
-) -> dict[LoadKey, float]:
+) -> dict[QueueKey, float]:
     # A slot makes fewer tokens for an account whose prompts are long, so
     # equal slots are not equal tokens. Whoever got less than its share of
     # the recent tokens weighs more until it has caught up.
--- a/quetzalcourse/coordination/slots/fair_queue.py
+++ b/quetzalcourse/coordination/slots/fair_queue.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping
 
-    from quetzalcourse.state.slots import LoadKey, SlotWaiter
+    from quetzalcourse.state.slots import QueueKey, SlotWaiter
 
 Line = dict[int, 'SlotWaiter']
 LEARNING_RATE = 0.2
@@ -28,17 +28,17 @@
     def __init__(self) -> None:
         """Begin empty."""
         self.weights: Mapping[int, float] = {}
-        self._lines: dict[LoadKey, dict[frozenset[str], Line]] = {}
-        self._times: dict[LoadKey, float] = {}
-        self._averages: dict[LoadKey, float] = {}
+        self._lines: dict[QueueKey, dict[frozenset[str], Line]] = {}
+        self._times: dict[QueueKey, float] = {}
+        self._averages: dict[QueueKey, float] = {}
         self._newest: dict[TrafficClass, float] = {}
-        self._lengths: Counter[LoadKey] = Counter()
+        self._lengths: Counter[QueueKey] = Counter()
 
     def __len__(self) -> int:
         """Count the requests that wait."""
         return sum(self._lengths.values())
 
-    def count(self, key: LoadKey) -> int:
+    def count(self, key: QueueKey) -> int:
         """Count the requests of one class and account that wait."""
         return self._lengths.get(key, 0)
 
@@ -86,7 +86,7 @@
                 return min(heads, key=lambda waiter: waiter.order)
         return None
 
-    def charge_start(self, key: LoadKey) -> float:
+    def charge_start(self, key: QueueKey) -> float:
         """Charge an account for a request that starts.
 
         :returns: how many tokens were charged.
@@ -97,7 +97,7 @@
         self._times[key] = start + estimate / self._weigh(key)
         return estimate
 
-    def charge_end(self, key: LoadKey, charged: float, tokens: int) -> None:
+    def charge_end(self, key: QueueKey, charged: float, tokens: int) -> None:
         """Charge what a request generated beyond its estimate.
 
         :param charged: what :meth:`charge_start` charged for it.
@@ -134,15 +134,15 @@
             key=lambda waiter: (waiter.request.deadline, waiter.order),
         )
 
-    def _walk_account(self, key: LoadKey) -> Iterator[SlotWaiter]:
+    def _walk_account(self, key: QueueKey) -> Iterator[SlotWaiter]:
         for line in self._lines[key].values():
             yield from line.values()
 
-    def _find_start(self, key: LoadKey) -> float:
+    def _find_start(self, key: QueueKey) -> float:
         # An account that was idle begins beside the others: credit for the
         # time before would let it hold all slots when it comes back.
         newest = self._newest.get(key.traffic_class, 0.0)
         return max(self._times.get(key, 0.0), newest)
 
-    def _weigh(self, key: LoadKey) -> float:
+    def _weigh(self, key: QueueKey) -> float:
         return self.weights.get(key.account_id, 1.0)
--- a/quetzalcourse/coordination/slots/owned_slots.py
+++ b/quetzalcourse/coordination/slots/owned_slots.py
@@ -19,7 +19,7 @@
 
     from quetzalcourse.state.manifest import Upstream
     from quetzalcourse.state.members import Member
-    from quetzalcourse.state.slots import SlotReport, SlotTerms
+    from quetzalcourse.state.slots import SlotReport, SlotTimings
 
 Answers = dict[str, list[Allowance]]
 
@@ -30,7 +30,7 @@
     :param own: this daemon.
     """
 
-    def __init__(self, own: Member, terms: SlotTerms) -> None:
+    def __init__(self, own: Member, terms: SlotTimings) -> None:
         """Begin without upstreams."""
         self._own = own
         self._terms = terms
--- a/quetzalcourse/coordination/slots/owner_grants.py
+++ b/quetzalcourse/coordination/slots/owner_grants.py
@@ -19,7 +19,7 @@
 from quetzalcourse.coordination.slots.ownership import find_owner, hash_name
 from quetzalcourse.coordination.slots.slot_usage import SlotUsage
 from quetzalcourse.state.generation import TrafficClass
-from quetzalcourse.state.slots import SlotTerms
+from quetzalcourse.state.slots import SlotTimings
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine, Iterable
@@ -31,7 +31,7 @@
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.slots import (
         Allowance,
-        LoadKey,
+        QueueKey,
         SlotReport,
         SlotWaiter,
     )
@@ -54,13 +54,13 @@
         members: MemberView,
         link: SlotLink,
         clock: Clock,
-        terms: SlotTerms | None = None,
+        terms: SlotTimings | None = None,
     ) -> None:
         """Begin without upstreams."""
         self._members = members
         self._link = link
         self._clock = clock
-        self._terms = terms or SlotTerms()
+        self._terms = terms or SlotTimings()
         self.owned = OwnedSlots(members.own, self._terms)
         self._upstreams: dict[str, Upstream] = {}
         self._usages: dict[str, SlotUsage] = {}
@@ -123,11 +123,11 @@
             return False
         return usage.may_start(traffic_class, self._clock.elapsed())
 
-    def on_started(self, upstream: str, key: LoadKey) -> None:
+    def on_started(self, upstream: str, key: QueueKey) -> None:
         """Count a request that begins to run."""
         self._find_usage(upstream).on_started(key, self._clock.elapsed())
 
-    def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
+    def on_released(self, upstream: str, key: QueueKey, tokens: int) -> None:
         """Count a request that runs no more."""
         usage = self._find_usage(upstream)
         usage.on_released(key, tokens)
--- a/quetzalcourse/coordination/slots/slot_owner.py
+++ b/quetzalcourse/coordination/slots/slot_owner.py
@@ -21,7 +21,7 @@
 
     from quetzalcourse.coordination.slots.division import Claim
     from quetzalcourse.state.manifest import Upstream
-    from quetzalcourse.state.slots import Allowance, SlotReport, SlotTerms
+    from quetzalcourse.state.slots import Allowance, SlotReport, SlotTimings
 
 OBSERVATION_WEIGHT = 0.5
 LOAD_LAG = timedelta(seconds=3)
@@ -83,7 +83,7 @@
     def __init__(
         self,
         upstream: Upstream,
-        terms: SlotTerms,
+        terms: SlotTimings,
         settles: timedelta,
         fallback: Mapping[str, int],
     ) -> None:
--- a/quetzalcourse/coordination/slots/slot_usage.py
+++ b/quetzalcourse/coordination/slots/slot_usage.py
@@ -11,7 +11,7 @@
 from quetzalcourse.state.slots import AccountLoad, Allowance, SlotReport
 
 if TYPE_CHECKING:
-    from quetzalcourse.state.slots import LoadKey, SlotTerms
+    from quetzalcourse.state.slots import QueueKey, SlotTimings
 
 NEVER = timedelta(seconds=-1)
 KEPT_SEQUENCES = 64
@@ -31,15 +31,15 @@
     """
 
     upstream: str
-    terms: SlotTerms
+    terms: SlotTimings
     owner: str = ''
     fallback: int = 0
     allowance: Allowance | None = None
     expires: timedelta = NEVER
     asked: timedelta = NEVER
-    running: Counter[LoadKey] = field(default_factory=Counter)
-    tokens: Counter[LoadKey] = field(default_factory=Counter)
-    waiting: dict[LoadKey, dict[int, timedelta]] = field(default_factory=dict)
+    running: Counter[QueueKey] = field(default_factory=Counter)
+    tokens: Counter[QueueKey] = field(default_factory=Counter)
+    waiting: dict[QueueKey, dict[int, timedelta]] = field(default_factory=dict)
     reported: timedelta = NEVER
     _reported_running: int = 0
     _reported_held: int = 0
@@ -111,14 +111,14 @@
             return min(self.allowance.revoke, self.training)
         return max(self.training - self.find_limits(now)[1], 0)
 
-    def on_started(self, key: LoadKey, now: timedelta) -> None:
+    def on_started(self, key: QueueKey, now: timedelta) -> None:
         """Count a request that begins to run."""
         self.running[key] += 1
         if key.traffic_class is TrafficClass.human:
             self._human_starts += 1
             self._human_until = now + self.terms.spare_hold
 
-    def on_released(self, key: LoadKey, tokens: int) -> None:
+    def on_released(self, key: QueueKey, tokens: int) -> None:
         """Count a request that runs no more."""
         self.running[key] -= 1
         if not self.running[key]:
@@ -219,7 +219,7 @@
             for key in keys
         )
 
-    def _find_age(self, key: LoadKey, now: timedelta) -> timedelta:
+    def _find_age(self, key: QueueKey, now: timedelta) -> timedelta:
         times = self.waiting.get(key)
         if not times:
             return timedelta(0)
--- a/quetzalcourse/coordination/slots/token_ledger.py
+++ b/quetzalcourse/coordination/slots/token_ledger.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from quetzalcourse.state.slots import LoadKey
+    from quetzalcourse.state.slots import QueueKey
 
 HALF_LIFE = timedelta(seconds=30)
 LARGEST_AGE = 60
@@ -25,10 +25,10 @@
 
     def __init__(self) -> None:
         """Begin with nothing served."""
-        self._sums: dict[LoadKey, float] = defaultdict(float)
+        self._sums: dict[QueueKey, float] = defaultdict(float)
         self._begin: timedelta | None = None
 
-    def add(self, key: LoadKey, tokens: int, now: timedelta) -> None:
+    def add(self, key: QueueKey, tokens: int, now: timedelta) -> None:
         """Count tokens that an account got."""
         if not tokens:
             return
@@ -40,7 +40,7 @@
             age = 0
         self._sums[key] += tokens * 2**age
 
-    def read(self) -> Mapping[LoadKey, float]:
+    def read(self) -> Mapping[QueueKey, float]:
         """Read the sums, which are comparable with one another only."""
         return self._sums
 
--- a/quetzalcourse/coordination/steps/step_directory.py
+++ b/quetzalcourse/coordination/steps/step_directory.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import Objects, Table
     from quetzalcourse.state.refusal import Refusal
-    from quetzalcourse.state.rows import Commit, StoreFault
+    from quetzalcourse.state.rows import TransactionResult, StoreFault
 
 REMEMBERED_STEPS = 1024
 
@@ -84,7 +84,9 @@
             return None
         return msgspec.json.decode(answer.ok_value, type=tuple[str, ...])
 
-    async def write(self, spec: StepSpec) -> Result[Commit, StoreFault]:
+    async def write(
+        self, spec: StepSpec
+    ) -> Result[TransactionResult, StoreFault]:
         """Write the rows of a step, if there is none of its number."""
         trainer, step = spec.trainer, spec.step
         key = name_step(trainer, step)
--- a/quetzalcourse/coordination/steps/steps.py
+++ b/quetzalcourse/coordination/steps/steps.py
@@ -24,7 +24,7 @@
 from quetzalcourse.coordination.steps.step_runner import StepRunner, cancel_all
 from quetzalcourse.coordination.steps.watchers import is_watcher
 from quetzalcourse.log import get_log
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 from quetzalcourse.state.steps import (
     DeliveredBatch,
@@ -38,7 +38,7 @@
     from quetzalcourse.coordination.ports import MemberView, Objects
     from quetzalcourse.coordination.steps.step_runner import RunParts
 
-STEP_TERMS = LeaseTerms(timedelta(seconds=6), timedelta(seconds=1))
+STEP_TERMS = LeaseTimings(timedelta(seconds=6), timedelta(seconds=1))
 SCAN_INTERVAL = timedelta(seconds=2)
 WATCH_INTERVAL = timedelta(seconds=1)
 OPEN_LOOKS = 5
--- a/quetzalcourse/coordination/usage/usage.py
+++ b/quetzalcourse/coordination/usage/usage.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.state.usage import (
-    NOTHING,
-    Entries,
+    ZERO_FIGURES,
+    UsageByKey,
     UsageFigures,
     UsageKey,
     UsageRow,
@@ -49,7 +49,7 @@
         self.generated: Counter[str] = Counter()
         self._clock = clock
         self._latest = ''
-        self._windows: dict[str, Entries] = {}
+        self._windows: dict[str, UsageByKey] = {}
         self._changed: dict[str, set[UsageKey]] = {}
 
     def record(
@@ -71,7 +71,7 @@
         self._latest = window
         key = UsageKey(client_account, traffic_class, name_kind(upstream))
         entries = self._windows.setdefault(window, {})
-        entries[key] = entries.get(key, NOTHING) + figures
+        entries[key] = entries.get(key, ZERO_FIGURES) + figures
         self.generated[traffic_class] += figures.generated_tokens
         self._changed.setdefault(window, set()).add(key)
 
@@ -111,5 +111,5 @@
             self._windows.pop(min(self._windows))
             self.dropped += 1
 
-    def _build(self, window: str, entries: Entries) -> UsageRow:
+    def _build(self, window: str, entries: UsageByKey) -> UsageRow:
         return UsageRow(window, self.incarnation, list_entries(entries))
--- a/quetzalcourse/coordination/usage/usage_copies.py
+++ b/quetzalcourse/coordination/usage/usage_copies.py
@@ -11,10 +11,10 @@
 from quetzalcourse.log import get_log
 from quetzalcourse.state.members import Topic
 from quetzalcourse.state.usage import (
-    Entries,
+    UsageByKey,
     UsageRow,
     index_entries,
-    join_entries,
+    merge_entries,
     list_entries,
     name_window,
 )
@@ -80,7 +80,7 @@
         self._counters = counters
         self._interval = interval
         self._until_whole = 0
-        self._copies: dict[tuple[str, str], Entries] = {}
+        self._copies: dict[tuple[str, str], UsageByKey] = {}
         peers.subscribe(Topic.usage, self._receive)
         members.on_change(self._on_members)
 
@@ -167,6 +167,6 @@
             log.warning('Usage message dropped.', peer=sender.incarnation)
             return
         place = (sender.incarnation, row.window)
-        self._copies[place] = join_entries(
+        self._copies[place] = merge_entries(
             self._copies.get(place, {}), index_entries(row.entries)
         )
--- a/quetzalcourse/coordination/usage/usage_reports.py
+++ b/quetzalcourse/coordination/usage/usage_reports.py
@@ -29,17 +29,17 @@
     Write,
 )
 from quetzalcourse.state.usage import (
-    Entries,
+    UsageByKey,
     FrozenReport,
     UsageProgress,
     UsageReportContent,
     UsageRow,
     add_entries,
-    find_start,
+    find_window_start,
     index_entries,
-    join_entries,
+    merge_entries,
     list_entries,
-    name_next,
+    name_next_window,
     name_window,
     subtract_entries,
 )
@@ -137,9 +137,12 @@
         progress = msgspec.json.decode(row.content, type=UsageProgress)
         if progress.sent < progress.frozen:
             return await self._send(row, progress)
-        window = name_next(progress.frozen, self._length)
+        window = name_next_window(progress.frozen, self._length)
         self._measure_delay(window)
-        if self._clock.now() < find_start(window) + self._length + self._grace:
+        if (
+            self._clock.now()
+            < find_window_start(window) + self._length + self._grace
+        ):
             return False
         return await self._freeze(row, progress, window)
 
@@ -153,7 +156,9 @@
         if rows.ok_value:
             oldest = rows.ok_value[0].key.split('/')[1]
             window = min(window, oldest)
-        before = name_window(find_start(window) - self._length, self._length)
+        before = name_window(
+            find_window_start(window) - self._length, self._length
+        )
         return await self._transact(
             (Condition(PROGRESS_KEY, ABSENT),),
             (write_progress(UsageProgress(before, before)),),
@@ -216,10 +221,10 @@
         in_time = await self._table.read(name_row(row.window, row.incarnation))
         if isinstance(in_time, Err):
             return in_time
-        reported = join_entries(
+        reported = merge_entries(
             read_entries(included.ok_value), read_entries(in_time.ok_value)
         )
-        whole = join_entries(reported, index_entries(row.entries))
+        whole = merge_entries(reported, index_entries(row.entries))
         conditions.append(expect(late.key, late))
         conditions.append(expect(included_key, included.ok_value))
         stored = UsageRow(row.window, row.incarnation, list_entries(whole))
@@ -229,7 +234,7 @@
         return Ok(UsageRow(row.window, row.incarnation, list_entries(rest)))
 
     async def _send(self, row: Row, progress: UsageProgress) -> bool:
-        window = name_next(progress.sent, self._length)
+        window = name_next_window(progress.sent, self._length)
         answer = await self._table.read(name_report(window))
         if isinstance(answer, Err) or answer.ok_value is None:
             return False
@@ -267,7 +272,7 @@
         self._counters.set('usage_behind_seconds', behind.total_seconds())
 
     def _find_delay(self, window: str) -> timedelta:
-        due = find_start(window) + self._length + self._grace
+        due = find_window_start(window) + self._length + self._grace
         return max(timedelta(0), self._clock.now() - due)
 
 
@@ -290,7 +295,7 @@
     :param in_time: rows of the daemons, which change no more.
     :param late: figures of earlier windows that no report holds yet.
     """
-    entries: Entries = {}
+    entries: UsageByKey = {}
     sources = []
     for row in in_time:
         entries = add_entries(entries, read_entries(row))
--- a/quetzalcourse/coordination/usage/usage_rows.py
+++ b/quetzalcourse/coordination/usage/usage_rows.py
@@ -16,10 +16,10 @@
     Write,
 )
 from quetzalcourse.state.usage import (
-    Entries,
+    UsageByKey,
     UsageRow,
     index_entries,
-    join_entries,
+    merge_entries,
     list_entries,
 )
 
@@ -54,7 +54,7 @@
     return msgspec.json.encode(row)
 
 
-def read_entries(row: Row | None) -> Entries:
+def read_entries(row: Row | None) -> UsageByKey:
     """Read the figures of a row, none if it is absent."""
     if row is None:
         return {}
@@ -94,7 +94,7 @@
         if isinstance(answer, Err):
             return answer
         before = read_entries(answer.ok_value)
-        joined = join_entries(before, index_entries(row.entries))
+        joined = merge_entries(before, index_entries(row.entries))
         if joined == before:
             return Ok(True)
         whole = UsageRow(row.window, row.incarnation, list_entries(joined))
@@ -123,10 +123,10 @@
             return late
         if isinstance(included, Err):
             return included
-        before = join_entries(
+        before = merge_entries(
             read_entries(late.ok_value), read_entries(included.ok_value)
         )
-        joined = join_entries(before, index_entries(row.entries))
+        joined = merge_entries(before, index_entries(row.entries))
         if joined == before:
             return Ok(True)
         whole = UsageRow(row.window, row.incarnation, list_entries(joined))
--- a/quetzalcourse/coordination/versions/load_orders.py
+++ b/quetzalcourse/coordination/versions/load_orders.py
@@ -183,7 +183,7 @@
                 self._models.get(upstream.name, ''),
             )
             for upstream in self._pool.list_service(service.name)
-            if upstream.is_open(now)
+            if upstream.is_available(now)
             and self._rests.get(upstream.name, now) <= now
         ]
         self._planned += len(views)
@@ -251,7 +251,7 @@
             self._pool.on_version(upstream, load.model, load.version)
             return True
         if outcome is OrderOutcome.accepted:
-            self._sequences[upstream.run] = order.sequence + 1
+            self._sequences[upstream.run_id] = order.sequence + 1
             await self._clock.sleep(LOAD_TIME)
         elif outcome not in (OrderOutcome.unanswered, OrderOutcome.conflict):
             return False
@@ -264,7 +264,7 @@
                 return True
             report = await self._control.report(upstream)
             if report is not None:
-                self._sequences[upstream.run] = report.sequence
+                self._sequences[upstream.run_id] = report.sequence
                 for model, version in report.versions.items():
                     self._pool.on_version(upstream, model, version)
                 held = report.versions.get(load.model, 0)
@@ -276,13 +276,13 @@
         return False
 
     async def _find_sequence(self, upstream: Upstream) -> int | None:
-        known = self._sequences.get(upstream.run)
+        known = self._sequences.get(upstream.run_id)
         if known is not None:
             return known
         report = await self._control.report(upstream)
         if report is None:
             return None
-        self._sequences[upstream.run] = report.sequence
+        self._sequences[upstream.run_id] = report.sequence
         return report.sequence
 
     def _is_pure(self, service: Service) -> bool:
--- a/quetzalcourse/duty_parts.py
+++ b/quetzalcourse/duty_parts.py
@@ -12,7 +12,7 @@
 from quetzalcourse.coordination.leases.lease_keeper import LeaseKeeper
 from quetzalcourse.coordination.versions.load_orders import LoadOrders
 from quetzalcourse.incarnation import read_vm
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 
 if TYPE_CHECKING:
     from quetzalcourse.coordination.feeds.wall_clock import WallClockEstimate
@@ -28,7 +28,7 @@
 FENCE_KEY = 'duties/all/fence'
 # A holder that died is followed within three seconds: a step that waits for
 # its weights still has most of its time then.
-TERMS = LeaseTerms(
+TERMS = LeaseTimings(
     term=timedelta(seconds=2),
     margin=timedelta(seconds=0.25),
     order_timeout=timedelta(seconds=0.65),
--- a/quetzalcourse/lease_parts.py
+++ b/quetzalcourse/lease_parts.py
@@ -16,7 +16,7 @@
 from quetzalcourse.coordination.usage.usage_copies import UsageCopies
 from quetzalcourse.coordination.usage.usage_reports import UsageReporter
 from quetzalcourse.coordination.usage.usage_rows import UsageRows
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.transport.order_client import OrderClient
 
 if TYPE_CHECKING:
@@ -84,9 +84,9 @@
         await self.on_drain()
 
 
-def read_terms(times: LeaseSettings) -> LeaseTerms:
+def read_terms(times: LeaseSettings) -> LeaseTimings:
     """Turn the settings of leases into their terms."""
-    return LeaseTerms(
+    return LeaseTimings(
         timedelta(seconds=times.term_seconds),
         timedelta(seconds=times.margin_seconds),
         timedelta(seconds=times.order_timeout_seconds),
--- a/quetzalcourse/platform/callers.py
+++ b/quetzalcourse/platform/callers.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.state.batches import BatchItem, ScoringCall, Submission
-from quetzalcourse.state.calls import BatchCall, BatchVerb, CallerTerms
+from quetzalcourse.state.calls import BatchCall, BatchOperation, CallerMetadata
 
 if TYPE_CHECKING:
     from quetzalcourse.state.batches import ResultPage
@@ -86,9 +86,9 @@
 class PlatformCallers:
     """Reads requests of clients and writes what they alone understand."""
 
-    def read_terms(self, head: RequestHead) -> CallerTerms:
+    def read_terms(self, head: RequestHead) -> CallerMetadata:
         """Read what every request may say."""
-        return CallerTerms(
+        return CallerMetadata(
             request_id=head.find('x-request-id'),
             key=head.find('x-key'),
             time_left=read_milliseconds(head.find('x-deadline-ms')),
@@ -102,17 +102,17 @@
         if path.startswith(RESULTS_PATH):
             batch = path.removeprefix(RESULTS_PATH)
             if head.method == 'DELETE':
-                return BatchCall(BatchVerb.end, batch)
+                return BatchCall(BatchOperation.end, batch)
             wait = read_milliseconds(head.find('x-wait-ms'))
             return BatchCall(
-                BatchVerb.read_results,
+                BatchOperation.read_results,
                 batch,
                 position=max(int(fields.get('after', ['0'])[0]), 0),
                 wait=wait or timedelta(0),
             )
         if path.startswith(ITEMS_PATH):
             return BatchCall(
-                BatchVerb.read_item,
+                BatchOperation.read_item,
                 path.removeprefix(ITEMS_PATH),
                 item=fields.get('id', [''])[0],
             )
--- a/quetzalcourse/platform/documents.py
+++ b/quetzalcourse/platform/documents.py
@@ -14,7 +14,7 @@
     AllowedRegions,
     CallerLimits,
     ColdStart,
-    KeyHolder,
+    AccountKeys,
     Route,
     RouteKind,
     RoutingManifest,
@@ -181,7 +181,7 @@
                 for service in message.services
             },
             limits=_read_limits(message.limits),
-            holders=holders,
+            accounts=holders,
         )
     )
 
@@ -276,11 +276,11 @@
     )
 
 
-def _read_tenant(message: TenantMessage) -> KeyHolder:
+def _read_tenant(message: TenantMessage) -> AccountKeys:
     digests = frozenset(
         hashlib.sha256(key.encode()).digest() for key in message.api_keys
     )
-    return KeyHolder(
+    return AccountKeys(
         message.name,
         digests,
         message.priority,
--- a/quetzalcourse/platform/store.py
+++ b/quetzalcourse/platform/store.py
@@ -10,8 +10,8 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.state.rows import (
-    Changes,
-    Commit,
+    RowChanges,
+    TransactionResult,
     FaultKind,
     Row,
     StoreFault,
@@ -161,7 +161,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows of one part together if every condition holds."""
         body = msgspec.json.encode(pack_transaction(transaction))
         answer = await self._call('POST', '/quetzalcourse/rows-tx', body)
@@ -169,13 +169,13 @@
             return answer
         status, message = answer.ok_value
         rows = tuple(read_row(row) for row in message.rows)
-        return Ok(Commit(status == OK, rows, message.ver))
+        return Ok(TransactionResult(status == OK, rows, message.ver))
 
     async def read_part(
         self,
         table: str,
         part: str,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Read all rows of a part."""
         rows: list[Row] = []
         version = 0
@@ -191,7 +191,7 @@
             version = version or page.ver
             rows.extend(read_row(row) for row in page.rows)
             if not page.has_more:
-                return Ok(Changes(tuple(rows), version))
+                return Ok(RowChanges(tuple(rows), version))
             begin = f'{page.rows[-1].key}\x00'
 
     async def list_parts(self, table: str) -> Result[list[str], StoreFault]:
@@ -214,7 +214,7 @@
         table: str,
         version: int,
         wait: timedelta,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Wait for the changes behind a version."""
         milliseconds = int(wait.total_seconds() * 1000)
         answer = await self._get(
@@ -226,7 +226,7 @@
             return answer
         message = answer.ok_value
         rows = tuple(read_row(row) for row in message.rows)
-        return Ok(Changes(rows, message.ver))
+        return Ok(RowChanges(rows, message.ver))
 
     async def _get(
         self,
--- a/quetzalcourse/platform/upstreams.py
+++ b/quetzalcourse/platform/upstreams.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.state.batches import MILLISECOND, StreamEvent
-from quetzalcourse.state.calls import AnswerMarks, AnswerState
+from quetzalcourse.state.calls import ResponseMetadata, ResponseOutcome
 from quetzalcourse.state.pool import LoadReport
 from quetzalcourse.transport.headers import HOP_BY_HOP, list_named
 
@@ -13,7 +13,7 @@
     from collections.abc import Mapping
 
     from quetzalcourse.state.batches import BatchItem, ScoringCall
-    from quetzalcourse.state.calls import AttemptTerms, RequestHead
+    from quetzalcourse.state.calls import AttemptMetadata, RequestHead
 
 OK_FIRST = 200
 OK_LAST = 299
@@ -40,7 +40,7 @@
     def write_request(
         self,
         head: RequestHead,
-        terms: AttemptTerms,
+        terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of a client's request for a server."""
         dropped = HOP_BY_HOP | OWN_HEADERS | list_named(head.headers)
@@ -51,7 +51,7 @@
         self,
         item: BatchItem,
         host: str,
-        terms: AttemptTerms,
+        terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of an item's request for a server."""
         own = OWN_HEADERS | HOP_BY_HOP | {'host', 'x-request-id'}
@@ -64,7 +64,7 @@
     def write_scoring(
         self,
         call: ScoringCall,
-        terms: AttemptTerms,
+        terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of a scoring call for a server."""
         headers = [('Host', call.host), ('X-Request-Id', call.id)]
@@ -75,25 +75,25 @@
         request_id: str,
         status: int,
         headers: Mapping[str, str],
-    ) -> AnswerMarks:
+    ) -> ResponseMetadata:
         """Read the head of a server's answer."""
         load = read_load(headers.get('X-Server-Load', ''))
         answered = headers.get('X-Request-Id', '')
         refused = 'X-Not-Executed' in headers or status == MISDIRECTED
         if refused and answered in ('', request_id):
-            return AnswerMarks(AnswerState.not_run, load)
+            return ResponseMetadata(ResponseOutcome.not_run, load)
         if answered != request_id:
-            return AnswerMarks(AnswerState.foreign)
+            return ResponseMetadata(ResponseOutcome.foreign)
         version = headers.get('X-Weight-Versions', '')
         number = int(version) if version.isdecimal() else 0
         if OK_FIRST <= status <= OK_LAST:
             stamp = headers.get('X-Server-Stamp', '')
-            return AnswerMarks(AnswerState.served, load, number, stamp)
+            return ResponseMetadata(ResponseOutcome.served, load, number, stamp)
         if status == UNPROCESSABLE:
-            return AnswerMarks(AnswerState.impossible, load)
+            return ResponseMetadata(ResponseOutcome.impossible, load)
         if status == SERVER_ERROR:
-            return AnswerMarks(AnswerState.failed, load)
-        return AnswerMarks(AnswerState.unfinished, load)
+            return ResponseMetadata(ResponseOutcome.failed, load)
+        return ResponseMetadata(ResponseOutcome.unfinished, load)
 
     def read_event(self, frame: bytes) -> StreamEvent | None:
         """Read one event of a stream, ``None`` if it can't be one."""
@@ -128,7 +128,7 @@
     return LoadReport(running, waiting, slots)
 
 
-def _write_terms(terms: AttemptTerms) -> list[tuple[str, str]]:
+def _write_terms(terms: AttemptMetadata) -> list[tuple[str, str]]:
     left = max(terms.time_left // MILLISECOND, 1)
     headers = [
         ('X-Deadline-Ms', str(left)),
--- a/quetzalcourse/protocol/platform.py
+++ b/quetzalcourse/protocol/platform.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from quetzalcourse.state.rows import Commit, Row, Transaction
+from quetzalcourse.state.rows import TransactionResult, Row, Transaction
 
 
 class RowMessage(msgspec.Struct):
@@ -155,10 +155,10 @@
     )
 
 
-def unpack_commit(content: bytes) -> Commit:
+def unpack_commit(content: bytes) -> TransactionResult:
     """Read the table's answer to a transaction."""
     message = msgspec.json.decode(content, type=CommitMessage)
-    return Commit(
+    return TransactionResult(
         message.applied,
         tuple(unpack_row(row) for row in message.conflicts),
     )
--- a/quetzalcourse/protocol/slots.py
+++ b/quetzalcourse/protocol/slots.py
@@ -15,7 +15,7 @@
 from quetzalcourse.state.slots import (
     AccountLoad,
     Allowance,
-    LoadKey,
+    QueueKey,
     SlotReport,
 )
 
@@ -190,7 +190,7 @@
     if load.human:
         traffic_class = TrafficClass.human
     return AccountLoad(
-        LoadKey(traffic_class, load.account_id),
+        QueueKey(traffic_class, load.account_id),
         load.running,
         load.waiting,
         load.oldest * TENTH,
--- a/quetzalcourse/quarantine_parts.py
+++ b/quetzalcourse/quarantine_parts.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.feeds.follower import TableFollower
-from quetzalcourse.coordination.quarantine import quarantine_rows
-from quetzalcourse.coordination.quarantine.end_updates import EndUpdates
+from quetzalcourse.coordination.quarantine import quarantine_store
+from quetzalcourse.coordination.quarantine.crash_updates import CrashUpdates
 from quetzalcourse.coordination.quarantine.quarantine import Quarantine
 from quetzalcourse.coordination.quarantine.records import QuarantineRecords
 
@@ -30,8 +30,8 @@
 
     quarantine: Quarantine
     follower: TableFollower
-    rows: quarantine_rows.QuarantineRows
-    updates: EndUpdates
+    rows: quarantine_store.QuarantineStore
+    updates: CrashUpdates
     ends: UpstreamEnds
 
     def start(self, lifecycle: Lifecycle) -> None:
@@ -50,25 +50,25 @@
 ) -> QuarantineParts:
     """Build the parts and connect them."""
     quarantine = Quarantine(QuarantineRecords(clock), counters)
-    pool.run_listeners.append(partial(_on_run, quarantine))
+    pool.registration_listeners.append(partial(_on_run, quarantine))
     follower = TableFollower(
         store.feed,
-        quarantine_rows.TABLE,
+        quarantine_store.TABLE,
         clock,
         counters,
         single_part=True,
-        wait=quarantine_rows.FEED_WAIT,
+        wait=quarantine_store.FEED_POLL_TIMEOUT,
     )
     return QuarantineParts(
         quarantine,
         follower,
-        quarantine_rows.QuarantineRows(
+        quarantine_store.QuarantineStore(
             quarantine, store.table, follower, store.clock, clock
         ),
-        EndUpdates(quarantine, members, peers, clock),
+        CrashUpdates(quarantine, members, peers, clock),
         UpstreamEnds(pool, quarantine),
     )
 
 
 def _on_run(quarantine: Quarantine, upstream: Upstream) -> None:
-    quarantine.on_return(upstream.run, upstream.member.address)
+    quarantine.on_restart(upstream.run_id, upstream.member.address)
--- a/quetzalcourse/settings/process.py
+++ b/quetzalcourse/settings/process.py
@@ -18,7 +18,7 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.settings.faults import SettingFault, list_faults
-from quetzalcourse.state.lease import find_margin
+from quetzalcourse.state.lease import compute_min_margin
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -151,7 +151,7 @@
     def check_parts(self) -> LeaseSettings:
         """Refuse a margin that clocks may outrun, and a term too short."""
         term = timedelta(seconds=self.term_seconds)
-        least = find_margin(term, self.drift_bound).total_seconds()
+        least = compute_min_margin(term, self.drift_bound).total_seconds()
         if self.margin_seconds < least:
             raise ValueError(
                 f'margin_seconds must be at least {least:g}, which clocks '
--- a/quetzalcourse/state/calls.py
+++ b/quetzalcourse/state/calls.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerTerms:
+class CallerMetadata:
     """What a caller says of its request.
 
     :param request_id: id of this attempt of the caller.
@@ -52,7 +52,7 @@
     resume_after: str = ''
 
 
-class BatchVerb(enum.StrEnum):
+class BatchOperation(enum.StrEnum):
     """What a caller wants of a batch that exists."""
 
     read_results = 'read_results'
@@ -69,14 +69,14 @@
     :param wait: how long to wait for a result.
     """
 
-    verb: BatchVerb
+    verb: BatchOperation
     batch: str
     position: int = 0
     item: str = ''
     wait: timedelta = timedelta(0)
 
 
-class AnswerState(enum.StrEnum):
+class ResponseOutcome(enum.StrEnum):
     """What an upstream's answer says of its request.
 
     ``failed`` is the upstream's own failure, which counts towards giving a
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMarks:
+class ResponseMetadata:
     """What the head of an upstream's answer says.
 
     :param state: ``not_run`` only if the upstream said so itself,
@@ -103,14 +103,14 @@
     :param stamp: mark that the upstream puts on each answer of its own.
     """
 
-    state: AnswerState
+    state: ResponseOutcome
     load: LoadReport | None = None
     weight_version: int = 0
     stamp: str = ''
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptTerms:
+class AttemptMetadata:
     """What an upstream is told with a request.
 
     :param upstream: id of the upstream that is meant.
--- a/quetzalcourse/state/counters.py
+++ b/quetzalcourse/state/counters.py
@@ -7,7 +7,7 @@
 
 Labels = tuple[tuple[str, str], ...]
 
-LATENCY_BOUNDS = (
+LATENCY_BUCKET_BOUNDS = (
     0.001,
     0.0025,
     0.005,
@@ -27,14 +27,15 @@
 
 
 @dataclass(slots=True)
-class Distribution:
+class Histogram:
     """Observations sorted into fixed buckets.
 
-    :param buckets: counts below each of :data:`LATENCY_BOUNDS`, then above.
+    :param buckets: counts below each of :data:`LATENCY_BUCKET_BOUNDS`, then
+        above.
     """
 
     buckets: list[int] = field(
-        default_factory=lambda: [0] * (len(LATENCY_BOUNDS) + 1),
+        default_factory=lambda: [0] * (len(LATENCY_BUCKET_BOUNDS) + 1),
     )
     total: float = 0.0
     count: int = 0
@@ -52,7 +53,7 @@
         """Start with nothing counted."""
         self.counts: dict[str, dict[Labels, float]] = {}
         self.gauges: dict[str, dict[Labels, float]] = {}
-        self.distributions: dict[str, dict[Labels, Distribution]] = {}
+        self.histograms: dict[str, dict[Labels, Histogram]] = {}
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
         """Add to a count that only grows.
@@ -70,9 +71,9 @@
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
         """Sort one observation into the buckets of a distribution."""
-        series = self.distributions.setdefault(name, {})
-        distribution = series.setdefault(sort_labels(labels), Distribution())
-        distribution.buckets[bisect_left(LATENCY_BOUNDS, seconds)] += 1
+        series = self.histograms.setdefault(name, {})
+        distribution = series.setdefault(sort_labels(labels), Histogram())
+        distribution.buckets[bisect_left(LATENCY_BUCKET_BOUNDS, seconds)] += 1
         distribution.total += seconds
         distribution.count += 1
 
--- a/quetzalcourse/state/spread.py
+++ b/quetzalcourse/state/gossip.py
@@ -9,7 +9,7 @@
 from quetzalcourse.state.keys import KeyRecord
 
 
-class SpreadKind(enum.IntEnum):
+class GossipKind(enum.IntEnum):
     """Steps by which news travels between two daemons."""
 
     announce = 0
@@ -19,7 +19,7 @@
     contents = 4
 
 
-class ManifestNews(msgspec.Struct, array_like=True, frozen=True):
+class ManifestMessage(msgspec.Struct, array_like=True, frozen=True):
     """One message about the manifest.
 
     :param version: version that the sender has in force.
@@ -29,7 +29,7 @@
     :param contents: sections by content hash, with ``contents``.
     """
 
-    kind: SpreadKind
+    kind: GossipKind
     version: int
     sections: dict[str, str] = {}
     accepted: dict[int, str] = {}
@@ -37,13 +37,13 @@
     contents: dict[str, bytes] = {}
 
 
-class KeyNews(msgspec.Struct, array_like=True, frozen=True):
+class KeyMessage(msgspec.Struct, array_like=True, frozen=True):
     """One message about keys.
 
     :param records: changes of keys, with ``contents``.
     :param buckets: hash of each bucket of records, with ``ask``.
     """
 
-    kind: SpreadKind
+    kind: GossipKind
     records: list[KeyRecord] = []
     buckets: list[int] = []
--- a/quetzalcourse/state/heartbeats.py
+++ b/quetzalcourse/state/heartbeats.py
@@ -9,7 +9,7 @@
 from quetzalcourse.state.members import Member
 
 
-class Standing(enum.IntEnum):
+class MemberStatus(enum.IntEnum):
     """What is held of a daemon; of two the higher one wins."""
 
     alive = 0
@@ -17,7 +17,7 @@
     gone = 2
 
 
-class Change(msgspec.Struct, array_like=True, frozen=True):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
     """News of one daemon.
 
     :param counter: raised by the daemon itself with each refutation or
@@ -30,9 +30,9 @@
     address: str
     leaving: bool
     counter: int
-    standing: Standing
+    standing: MemberStatus
 
-    def read_member(self) -> Member:
+    def to_member(self) -> Member:
         """Tell whom the news is about."""
         return Member(
             self.vm,
@@ -42,15 +42,17 @@
             self.leaving,
         )
 
-    def beats(self, other: Change) -> bool:
+    def supersedes(self, other: MemberUpdate) -> bool:
         """Tell whether this news replaces other news of the same daemon."""
         mine = (self.counter, self.standing)
         return mine > (other.counter, other.standing)
 
 
-def describe(member: Member, counter: int, standing: Standing) -> Change:
+def build_update(
+    member: Member, counter: int, standing: MemberStatus
+) -> MemberUpdate:
     """Make news of a daemon."""
-    return Change(
+    return MemberUpdate(
         member.vm,
         member.incarnation,
         member.data_centre,
@@ -90,7 +92,7 @@
     manifest: int
     keys: int
     view: int
-    changes: list[Change] = []
+    changes: list[MemberUpdate] = []
     subject: str = ''
     hashes: dict[str, int] = {}
     news_age: int = -1
--- a/quetzalcourse/state/keys.py
+++ b/quetzalcourse/state/keys.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-KEY_ID = re.compile('[A-Za-z0-9_-]{1,64}')
-DIGEST = re.compile('[0-9a-f]{64}')
+KEY_ID_PATTERN = re.compile('[A-Za-z0-9_-]{1,64}')
+DIGEST_PATTERN = re.compile('[0-9a-f]{64}')
 
 
 class KeyRecord(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
     digest: str = ''
     withdrawn: bool = False
 
-    def join(self, other: KeyRecord) -> KeyRecord:
+    def merge(self, other: KeyRecord) -> KeyRecord:
         """Merge with another record of the same key.
 
         Any two daemons that saw the same records in any order must hold the
@@ -39,22 +39,22 @@
         return KeyRecord(self.key_id, grant[1], grant[0], withdrawn)
 
 
-def bury(key_id: str) -> KeyRecord:
+def build_tombstone(key_id: str) -> KeyRecord:
     """Make the tombstone of a key."""
     return KeyRecord(key_id, withdrawn=True)
 
 
-def check_record(record: KeyRecord) -> str:
+def validate_record(record: KeyRecord) -> str:
     """Find what is wrong with a change that an operator asks for.
 
     :returns: the fault, empty if there is none.
     """
-    if not KEY_ID.fullmatch(record.key_id):
+    if not KEY_ID_PATTERN.fullmatch(record.key_id):
         return 'A key id has 1 to 64 letters, digits, "-" and "_".'
     if record.withdrawn:
         return ''
     if not record.client_account:
         return 'A grant names a client account.'
-    if not DIGEST.fullmatch(record.digest):
+    if not DIGEST_PATTERN.fullmatch(record.digest):
         return 'A grant has the SHA-256 of its secret, in hexadecimal.'
     return ''
--- a/quetzalcourse/state/lease.py
+++ b/quetzalcourse/state/lease.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseTerms:
+class LeaseTimings:
     """Times that holder and contenders agree on.
 
     :param term: how long a confirmed renewal lasts.
@@ -50,7 +50,7 @@
         return self.term + self.margin + self.order_timeout
 
 
-def find_margin(term: timedelta, drift_bound: float) -> timedelta:
+def compute_min_margin(term: timedelta, drift_bound: float) -> timedelta:
     """Work out the least margin for clocks that run at different rates.
 
     A fast contender waits ``term + margin`` in ``1 / (1 + drift_bound)`` of
--- a/quetzalcourse/state/quarantine.py
+++ b/quetzalcourse/state/quarantine.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class UpstreamEnd:
+class UpstreamCrash:
     """A run of an upstream that seems to have ended.
 
     :param at: time since boot at which this daemon learned of it.
@@ -44,14 +44,14 @@
 class RequestRecord:
     """Upstreams that ended under a request since it was last answered.
 
-    :param ends: by the runs that ended while they ran it.
+    :param crashes: by the runs that ended while they ran it.
     :param changed_at: time since boot of the last end or of the quarantine.
     :param quarantined_until: time since boot until which nothing runs it,
         ``None`` if it is not quarantined.
     :param trials: trials that were begun since it was quarantined.
     """
 
-    ends: dict[UpstreamRun, UpstreamEnd] = field(default_factory=dict)
+    crashes: dict[UpstreamRun, UpstreamCrash] = field(default_factory=dict)
     changed_at: timedelta = timedelta(0)
     quarantined_until: timedelta | None = None
     trials: int = 0
--- a/quetzalcourse/state/routing.py
+++ b/quetzalcourse/state/routing.py
@@ -115,16 +115,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyHolder:
+class AccountKeys:
     """A client account with the keys that act for it.
 
-    :param digests: SHA-256 of each key; the keys themselves are not kept.
+    :param key_digests: SHA-256 of each key; the keys themselves are not kept.
     :param priority: rank that goes before the route's, if it has one.
     :param allowed_regions: where its requests may be handled.
     """
 
     client_account: str
-    digests: frozenset[bytes]
+    key_digests: frozenset[bytes]
     priority: int | None = None
     allowed_regions: AllowedRegions = None
 
@@ -133,11 +133,11 @@
 class RoutingManifest:
     """Everything that operators decide about routing.
 
-    :param holders: client accounts; ``None`` where no key is asked for.
+    :param accounts: client accounts; ``None`` where no key is asked for.
     """
 
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
     limits: CallerLimits
-    holders: tuple[KeyHolder, ...] | None
+    accounts: tuple[AccountKeys, ...] | None
--- a/quetzalcourse/state/rows.py
+++ b/quetzalcourse/state/rows.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Commit:
+class TransactionResult:
     """Answer of the table to a transaction.
 
     :param applied: whether the writes took effect.
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class RowChanges:
     """Rows of a table, as of one of its versions.
 
     :param rows: in the order of their changes, or of their keys.
--- a/quetzalcourse/state/slots.py
+++ b/quetzalcourse/state/slots.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadKey:
+class QueueKey:
     """Whose work it is: every queue and every fair share has one.
 
     :param account_id: short hash of the account's name.
@@ -63,7 +63,7 @@
     :param tokens: generated since the report before.
     """
 
-    key: LoadKey
+    key: QueueKey
     running: int
     waiting: int
     oldest: timedelta
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotTerms:
+class SlotTimings:
     """Times of the exchange between requesters and owners.
 
     :param term: life of an allowance after the report that it answers.
@@ -146,7 +146,7 @@
     """
 
     order: int
-    key: LoadKey
+    key: QueueKey
     request: SlotRequest
     queued: timedelta
     granted: asyncio.Future[Grant]
--- a/quetzalcourse/state/usage.py
+++ b/quetzalcourse/state/usage.py
@@ -51,7 +51,7 @@
             )
         )
 
-    def join(self, other: UsageFigures) -> UsageFigures:
+    def merge(self, other: UsageFigures) -> UsageFigures:
         """Take the larger of each; both are readings of one counter."""
         return UsageFigures(
             *(
@@ -61,8 +61,8 @@
         )
 
 
-Entries = dict[UsageKey, UsageFigures]
-NOTHING = UsageFigures()
+UsageByKey = dict[UsageKey, UsageFigures]
+ZERO_FIGURES = UsageFigures()
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,40 +127,43 @@
     content: bytes
 
 
-def join_entries(first: Entries, second: Entries) -> Entries:
+def merge_entries(first: UsageByKey, second: UsageByKey) -> UsageByKey:
     """Join two readings of one daemon's counters.
 
     Joining is idempotent and heeds no order, so that a row may be written
     by the daemon and by its peers, however often.
     """
     return {
-        key: first.get(key, NOTHING).join(second.get(key, NOTHING))
+        key: first.get(key, ZERO_FIGURES).merge(second.get(key, ZERO_FIGURES))
         for key in first.keys() | second.keys()
     }
 
 
-def add_entries(first: Entries, second: Entries) -> Entries:
+def add_entries(first: UsageByKey, second: UsageByKey) -> UsageByKey:
     """Add the figures of different daemons."""
     return {
-        key: first.get(key, NOTHING) + second.get(key, NOTHING)
+        key: first.get(key, ZERO_FIGURES) + second.get(key, ZERO_FIGURES)
         for key in first.keys() | second.keys()
     }
 
 
-def subtract_entries(whole: Entries, part: Entries) -> Entries:
+def subtract_entries(whole: UsageByKey, part: UsageByKey) -> UsageByKey:
     """Tell what a later reading has over an earlier one."""
     rest = {
-        key: figures - part.get(key, NOTHING) for key, figures in whole.items()
+        key: figures - part.get(key, ZERO_FIGURES)
+        for key, figures in whole.items()
+    }
+    return {
+        key: figures for key, figures in rest.items() if figures != ZERO_FIGURES
     }
-    return {key: figures for key, figures in rest.items() if figures != NOTHING}
 
 
-def list_entries(entries: Entries) -> tuple[UsageEntry, ...]:
+def list_entries(entries: UsageByKey) -> tuple[UsageEntry, ...]:
     """Sort figures, so that the same figures are the same bytes."""
     return tuple(UsageEntry(key, entries[key]) for key in sorted(entries))
 
 
-def index_entries(entries: tuple[UsageEntry, ...]) -> Entries:
+def index_entries(entries: tuple[UsageEntry, ...]) -> UsageByKey:
     """Find figures by their key."""
     return {entry.key: entry.figures for entry in entries}
 
@@ -172,11 +175,11 @@
     return start.strftime(WINDOW_FORMAT)
 
 
-def find_start(window: str) -> datetime:
+def find_window_start(window: str) -> datetime:
     """Tell when a window starts."""
     return datetime.strptime(window, WINDOW_FORMAT).replace(tzinfo=UTC)
 
 
-def name_next(window: str, length: timedelta) -> str:
+def name_next_window(window: str, length: timedelta) -> str:
     """Name the window behind another."""
-    return name_window(find_start(window) + length, length)
+    return name_window(find_window_start(window) + length, length)
--- a/quetzalcourse/tests/coordination/batches/placement_tests.py
+++ b/quetzalcourse/tests/coordination/batches/placement_tests.py
@@ -228,7 +228,7 @@
     assert bench.place(1, new) == {'nowhere': 1}
     bench.pool.on_version(bench.find(1), 'verse', 2)
     assert bench.place(1, new) == {'e-1': 1}
-    bench.pool.on_busy(bench.find(1), 'verse')
+    bench.pool.on_model_refused(bench.find(1), 'verse')
     assert bench.place(1, new) == {'nowhere': 1}
     bench.clock.move(timedelta(seconds=1))
     assert bench.place(1, new) == {'e-1': 1}
--- a/quetzalcourse/tests/coordination/batches/scoring_tests.py
+++ b/quetzalcourse/tests/coordination/batches/scoring_tests.py
@@ -82,8 +82,8 @@
 ) -> None:
     """Word of others' requests counts as long as it is fresh."""
     upstream = build_upstream('s', running)
-    upstream.others = others
-    upstream.others_at = NOW - timedelta(seconds=age)
+    upstream.other_requests = others
+    upstream.other_requests_at = NOW - timedelta(seconds=age)
     assert has_room(upstream, NOW) is room
 
 
--- a/quetzalcourse/tests/coordination/fleet/fleet_tests.py
+++ b/quetzalcourse/tests/coordination/fleet/fleet_tests.py
@@ -26,7 +26,7 @@
     FleetView,
     SpendingRecord,
 )
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.manifest import FleetKind, FleetPlan
 from quetzalcourse.tests.gates import SlowTable, draw_pause
 from quetzalcourse.tests.tables import FakeStore
@@ -51,7 +51,7 @@
 )
 LONG = timedelta(hours=1)
 RICH = 2400.0
-TERMS = LeaseTerms(
+TERMS = LeaseTimings(
     timedelta(seconds=10), timedelta(seconds=2), timedelta(seconds=2)
 )
 
--- a/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
@@ -13,9 +13,9 @@
 )
 from quetzalcourse.coordination.batches.slot_allocation import UPDATE_TTL
 from quetzalcourse.coordination.forwarding.cold_start import (
-    MAX_DIFFERING_VIEWS,
+    MAX_DIVERGENT_VIEWS,
     ColdStartLimiter,
-    find_budget,
+    compute_sender_budget,
 )
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.settings.rollout import ColdStartTerms
@@ -244,7 +244,7 @@
     for _ in range(2 * WINDOW // TICK):
         served += sum(daemon.send_request(arrivals) for daemon in daemons)
         clock.move(TICK)
-    assert arrivals.find_peak() <= LIMIT / MAX_DIFFERING_VIEWS
+    assert arrivals.find_peak() <= LIMIT / MAX_DIVERGENT_VIEWS
     assert served >= UPSTREAMS * 2
 
 
@@ -256,7 +256,7 @@
     assert upstream is not None
     daemon.pool.on_failure(upstream, 'not_sent')
     assert not daemon.pool.cold_starts.is_cold(upstream)
-    daemon.pool.on_entries(lambda: False)
+    daemon.pool.set_entry_check(lambda: False)
     daemon.pool.on_failure(upstream, 'late')
     assert not daemon.pool.cold_starts.is_cold(upstream)
     daemon.pool.on_failure(upstream, 'not_sent')
@@ -279,4 +279,4 @@
 ) -> None:
     """Guards against a limit that holds only while all daemons agree."""
     terms = ColdStartTerms(overage, slack)
-    assert find_budget(ColdStart(WINDOW, rate), terms) == budget
+    assert compute_sender_budget(ColdStart(WINDOW, rate), terms) == budget
--- a/quetzalcourse/tests/coordination/forwarding/evacuation_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/evacuation_tests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quetzalcourse.coordination.batches.scoring import choose_upstream
-from quetzalcourse.coordination.forwarding.cold_start import NoColdStarts
+from quetzalcourse.coordination.forwarding.cold_start import NoColdStartLimits
 from quetzalcourse.coordination.forwarding.evacuation import Evacuations
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.forwarding.upstream import Upstream
@@ -21,7 +21,7 @@
 COLD_FOR = timedelta(seconds=3)
 
 
-class LongColdStarts(NoColdStarts):
+class LongColdStarts(NoColdStartLimits):
     """Upstreams that are cold for a while after their start."""
 
     def find_duration(self, _: Upstream) -> timedelta:
--- a/quetzalcourse/tests/coordination/forwarding/forwarding_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/forwarding_tests.py
@@ -8,7 +8,7 @@
 
 from quetzalcourse.coordination.forwarding.forwarding import (
     Forwarder,
-    Forwarding,
+    ForwardedRequest,
 )
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.quarantine.quarantine import Quarantine
@@ -23,7 +23,7 @@
 MAX_ATTEMPTS = 2
 
 
-def build() -> tuple[Forwarder, Forwarding]:
+def build() -> tuple[Forwarder, ForwardedRequest]:
     """Build a lookup before four upstreams."""
     clock = FakeClock()
     pool = Pool('hall', clock, Counters())
@@ -42,7 +42,7 @@
         MAX_ATTEMPTS,
     )
     deadline = clock.elapsed() + timedelta(seconds=1)
-    forwarding = Forwarding('r-1', route, 's', 'desk', deadline)
+    forwarding = ForwardedRequest('r-1', route, 's', 'desk', deadline)
     return Forwarder(pool, quarantine, clock), forwarding
 
 
--- a/quetzalcourse/tests/coordination/forwarding/pool_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/pool_tests.py
@@ -54,9 +54,9 @@
         clock.move(timedelta(seconds=seconds - 0.01))
         assert pool.choose('app') is pool.find('s-2')
         clock.move(timedelta(seconds=0.02))
-        assert failed.is_open(clock.elapsed())
+        assert failed.is_available(clock.elapsed())
     pool.on_success(failed)
-    assert failed.faults == 0
+    assert failed.consecutive_failures == 0
 
 
 def test_one_late_answer_is_no_failure(pool: Pool) -> None:
@@ -64,10 +64,10 @@
     # taking it out would crowd the others.
     upstream = pool.find('s-1')
     assert upstream is not None
-    pool.on_late(upstream)
-    assert upstream.faults == 0
-    pool.on_late(upstream)
-    assert upstream.faults == 1
+    pool.on_timeout(upstream)
+    assert upstream.consecutive_failures == 0
+    pool.on_timeout(upstream)
+    assert upstream.consecutive_failures == 1
 
 
 def test_all_resting_is_better_than_none(pool: Pool) -> None:
@@ -208,7 +208,7 @@
         assert upstream is not None
         pool.on_start(upstream)
         pool.on_end(upstream)
-        pool.on_kept(upstream, KEPT)
+        pool.on_idle_connection(upstream, KEPT)
         used.add(upstream.name)
         clock.move(timedelta(seconds=1.5))
     assert len(used) == 1
@@ -218,7 +218,7 @@
     """A kept connection does not draw requests to an upstream in use."""
     kept = pool.find('s-1')
     assert kept is not None
-    pool.on_kept(kept, KEPT)
+    pool.on_idle_connection(kept, KEPT)
     for _ in range(MEMBER.slots):
         upstream = pool.choose('app')
         assert upstream is not None
@@ -233,7 +233,7 @@
     """Once it is closed, the less loaded upstream comes first again."""
     kept = pool.find('s-1')
     assert kept is not None
-    pool.on_kept(kept, KEPT)
+    pool.on_idle_connection(kept, KEPT)
     pool.on_start(kept)
     assert pool.choose('app') is kept
     clock.move(KEPT)
--- a/quetzalcourse/tests/coordination/forwarding/residency_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/residency_tests.py
@@ -87,14 +87,16 @@
     """Guards against items that move to a daemon elsewhere with their batch."""
     members = [NORTH, OTHER_NORTH, SOUTH]
     residency = build_residency(['north'])
-    assert residency.may_hold(HEAD, OTHER_NORTH)
-    assert not residency.may_hold(HEAD, SOUTH)
-    holders = residency.list_holders(HEAD, members, 'hall-s')
+    assert residency.may_store_items(HEAD, OTHER_NORTH)
+    assert not residency.may_store_items(HEAD, SOUTH)
+    holders = residency.list_takeover_candidates(HEAD, members, 'hall-s')
     assert holders == [NORTH, OTHER_NORTH]
-    assert residency.list_holders(HEAD, [SOUTH], 'hall-n') == []
-    assert residency.list_holders(HEAD, [SOUTH], 'hall-s') == [SOUTH]
+    assert residency.list_takeover_candidates(HEAD, [SOUTH], 'hall-n') == []
+    assert residency.list_takeover_candidates(HEAD, [SOUTH], 'hall-s') == [
+        SOUTH
+    ]
     unbound = build_residency()
-    assert unbound.list_holders(HEAD, members, 'hall-n') == members
+    assert unbound.list_takeover_candidates(HEAD, members, 'hall-n') == members
 
 
 def test_store_is_reached_through_daemons_of_the_own_region() -> None:
--- a/quetzalcourse/tests/coordination/leases/lease_tests.py
+++ b/quetzalcourse/tests/coordination/leases/lease_tests.py
@@ -14,7 +14,11 @@
 
 from quetzalcourse.coordination.leases.lease import Lease
 from quetzalcourse.standins.virtual_time import VirtualClock, run_virtual
-from quetzalcourse.state.lease import LeaseState, LeaseTerms, find_margin
+from quetzalcourse.state.lease import (
+    LeaseState,
+    LeaseTimings,
+    compute_min_margin,
+)
 from quetzalcourse.state.rows import Transaction, Write
 from quetzalcourse.tests.clocks import FakeClock
 from quetzalcourse.tests.gates import GatedTable, SlowTable, draw_pause
@@ -24,12 +28,12 @@
     from collections.abc import Sequence
 
 KEY = 'lease/orders'
-TERMS = LeaseTerms(timedelta(seconds=10), timedelta(seconds=2))
+TERMS = LeaseTimings(timedelta(seconds=10), timedelta(seconds=2))
 DRIFT = 0.05
 RATES = (1 - DRIFT, 1 + DRIFT, 1 - DRIFT)
-DRIFTING = LeaseTerms(
+DRIFTING = LeaseTimings(
     timedelta(seconds=10),
-    find_margin(timedelta(seconds=10), DRIFT),
+    compute_min_margin(timedelta(seconds=10), DRIFT),
     timedelta(seconds=0.5),
 )
 SentOrder = tuple[float, int, int]
@@ -44,7 +48,7 @@
     def __init__(
         self,
         names: Sequence[str] = ('first', 'second'),
-        terms: LeaseTerms = TERMS,
+        terms: LeaseTimings = TERMS,
     ) -> None:
         self.store = FakeStore()
         self.clocks = [FakeClock() for _ in names]
--- a/quetzalcourse/tests/coordination/manifest/keys_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/keys_tests.py
@@ -20,7 +20,7 @@
 from quetzalcourse.coordination.membership.cuts import News
 from quetzalcourse.coordination.membership.membership import Digest
 from quetzalcourse.state.counters import Counters
-from quetzalcourse.state.keys import KeyRecord, bury
+from quetzalcourse.state.keys import KeyRecord, build_tombstone
 from quetzalcourse.state.manifest import KeyHash
 from quetzalcourse.state.members import Member, Topic
 from quetzalcourse.state.refusal import RefusalCode
@@ -96,9 +96,9 @@
 @pytest.mark.parametrize(
     'records',
     [
-        (GRANT, bury('desk')),
-        (bury('desk'), GRANT),
-        (bury('desk'), GRANT, GRANT, bury('desk'), GRANT),
+        (GRANT, build_tombstone('desk')),
+        (build_tombstone('desk'), GRANT),
+        (build_tombstone('desk'), GRANT, GRANT, build_tombstone('desk'), GRANT),
     ],
 )
 def test_withdrawal_wins_in_any_order(records: tuple[KeyRecord, ...]) -> None:
@@ -207,11 +207,11 @@
     node.ring.withdraw('desk')
     cluster.store.write_faults.append(fault)
     await node.follower.poll()
-    assert node.follower.list_unstored() == [bury('desk')]
+    assert node.follower.list_unstored() == [build_tombstone('desk')]
     await node.follower.poll()
     assert node.follower.list_unstored() == []
     _, records = (await KeyTable(cluster.store).read_after(0)).unwrap()
-    assert set(records) == {bury('desk')}
+    assert set(records) == {build_tombstone('desk')}
 
 
 async def test_operators_append_at_once() -> None:
@@ -219,8 +219,12 @@
     store = FakeStore()
     first, second = KeyTable(store), KeyTable(store)
     for number in range(5):
-        assert isinstance(await first.append(bury(f'a-{number}')), Ok)
-        assert isinstance(await second.append(bury(f'b-{number}')), Ok)
+        assert isinstance(
+            await first.append(build_tombstone(f'a-{number}')), Ok
+        )
+        assert isinstance(
+            await second.append(build_tombstone(f'b-{number}')), Ok
+        )
     last, records = (await first.read_after(0)).unwrap()
     assert last == 10
     assert len(set(records)) == 10
@@ -233,8 +237,8 @@
     one, other = cluster.nodes
     for number in range(2000):
         for node in cluster.nodes:
-            node.ring.merge(bury(f'key-{number}'), tell=False)
-    one.ring.merge(bury('missed'), tell=False)
+            node.ring.merge(build_tombstone(f'key-{number}'), tell=False)
+    one.ring.merge(build_tombstone('missed'), tell=False)
     cluster.network.sent.clear()
     await cluster.beat()
     assert other.ring.is_withdrawn('missed')
@@ -285,7 +289,7 @@
     def make(self, key: int, withdrawn: bool, digest: int) -> None:
         """An operator asks for a change somewhere."""
         record = KeyRecord(f'key-{key}', 'readers', hash_secret(str(digest)))
-        self.made.append(bury(f'key-{key}') if withdrawn else record)
+        self.made.append(build_tombstone(f'key-{key}') if withdrawn else record)
 
     @rule(who=integers(0, 2), which=integers(0, 20))
     def deliver(self, who: int, which: int) -> None:
--- a/quetzalcourse/tests/coordination/membership/membership_tests.py
+++ b/quetzalcourse/tests/coordination/membership/membership_tests.py
@@ -11,7 +11,7 @@
 from quetzalcourse.coordination.membership.membership import Membership
 from quetzalcourse.coordination.membership.roster import Roster
 from quetzalcourse.state.counters import Counters
-from quetzalcourse.state.heartbeats import Standing, describe
+from quetzalcourse.state.heartbeats import MemberStatus, build_update
 from quetzalcourse.state.members import Member, Topic
 from quetzalcourse.tests.clocks import FakeClock, settle
 from quetzalcourse.tests.peers import FakeNetwork
@@ -285,41 +285,44 @@
 @pytest.mark.parametrize(
     ('first', 'second', 'beaten'),
     [
-        ((1, Standing.alive), (1, Standing.suspect), True),
-        ((1, Standing.gone), (1, Standing.alive), False),
-        ((1, Standing.gone), (2, Standing.alive), True),
-        ((2, Standing.suspect), (1, Standing.gone), False),
+        ((1, MemberStatus.alive), (1, MemberStatus.suspect), True),
+        ((1, MemberStatus.gone), (1, MemberStatus.alive), False),
+        ((1, MemberStatus.gone), (2, MemberStatus.alive), True),
+        ((2, MemberStatus.suspect), (1, MemberStatus.gone), False),
     ],
 )
 def test_news_are_ordered(
-    first: tuple[int, Standing],
-    second: tuple[int, Standing],
+    first: tuple[int, MemberStatus],
+    second: tuple[int, MemberStatus],
     beaten: bool,
 ) -> None:
     member = Member('vm', 'vm-a', 'lac-hall', '10.0.0.1:1')
-    assert describe(member, *second).beats(describe(member, *first)) is beaten
+    assert (
+        build_update(member, *second).supersedes(build_update(member, *first))
+        is beaten
+    )
 
 
 @pytest.mark.parametrize(
     ('held', 'leaving', 'expected'),
     [
-        (Standing.alive, False, Standing.suspect),
-        (Standing.suspect, False, Standing.gone),
-        (Standing.alive, True, Standing.gone),
+        (MemberStatus.alive, False, MemberStatus.suspect),
+        (MemberStatus.suspect, False, MemberStatus.gone),
+        (MemberStatus.alive, True, MemberStatus.gone),
     ],
 )
 def test_word_of_others_casts_suspicion(
-    held: Standing,
+    held: MemberStatus,
     leaving: bool,
-    expected: Standing,
+    expected: MemberStatus,
 ) -> None:
     # Another data centre lost a daemon in a cut and says that it is gone.
     # Believed at once, that would take a well heard daemon off the list.
     roster = Roster()
     member = Member('vm', 'vm-a', 'lac-hall', '10.0.0.1:1', leaving)
     now = timedelta(0)
-    roster.merge(describe(member, 1, held), now)
-    roster.merge(describe(member, 1, Standing.gone), now)
+    roster.merge(build_update(member, 1, held), now)
+    roster.merge(build_update(member, 1, MemberStatus.gone), now)
     found = roster.find('vm-a')
     assert found is not None
     assert found.standing is expected
--- a/quetzalcourse/tests/coordination/quarantine/quarantine_decisions_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/quarantine_decisions_tests.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from quetzalcourse.coordination.quarantine.end_updates import (
+from quetzalcourse.coordination.quarantine.crash_updates import (
     SEND_DELAY,
-    EndUpdates,
+    CrashUpdates,
 )
 from quetzalcourse.coordination.quarantine.quarantine import Quarantine
 from quetzalcourse.coordination.quarantine.records import (
-    MAX_ENDS,
-    QUARANTINE_TIME,
+    MAX_CRASHES,
+    BASE_QUARANTINE_TIME,
     QuarantineRecords,
 )
 from quetzalcourse.exceptions import RefusedError
@@ -39,8 +39,8 @@
 def end(quarantine: Quarantine, count: int, name: str = 'f') -> None:
     """Let as many upstreams end under a request."""
     for number in range(count):
-        quarantine.on_end(name, (f'u-{number}', 1), f'a-{number}')
-        quarantine.on_return((f'v-{number}', 1), f'a-{number}')
+        quarantine.on_crash(name, (f'u-{number}', 1), f'a-{number}')
+        quarantine.on_restart((f'v-{number}', 1), f'a-{number}')
 
 
 @pytest.mark.parametrize('may_have_run', [False, True])
@@ -49,13 +49,13 @@
 ) -> None:
     """Guards against a promise that nothing ran where something did."""
     quarantine = build()
-    end(quarantine, MAX_ENDS)
+    end(quarantine, MAX_CRASHES)
     with pytest.raises(RefusedError) as raised:
         await quarantine.admit('f', may_have_run=may_have_run)
     refusal = raised.value.refusal
     assert refusal.code is RefusalCode.quarantined
     assert refusal.not_run is not may_have_run
-    assert refusal.retry_after == QUARANTINE_TIME
+    assert refusal.retry_after == BASE_QUARANTINE_TIME
 
 
 async def test_suspect_runs_once_at_a_time_and_apart() -> None:
@@ -86,19 +86,19 @@
     for member in members:
         quarantine = build()
         peers = network.join(member)
-        EndUpdates(quarantine, FakeMembers(member, members), peers, clock)
+        CrashUpdates(quarantine, FakeMembers(member, members), peers, clock)
         daemons.append(quarantine)
-    for number, quarantine in enumerate(daemons[:MAX_ENDS]):
+    for number, quarantine in enumerate(daemons[:MAX_CRASHES]):
         run = (f'u-{number}', 1)
-        quarantine.on_end('f', run, f'a-{number}')
-        quarantine.on_end('popular', run, f'a-{number}')
+        quarantine.on_crash('f', run, f'a-{number}')
+        quarantine.on_crash('popular', run, f'a-{number}')
         daemons[3].on_answer('popular', ('sound', 1))
         await clock.advance(SEND_DELAY)
     for quarantine in daemons:
         state = quarantine.records.find_state('f')
         assert state is RequestState.held
-        for number in range(MAX_ENDS):
-            quarantine.on_return((f'v-{number}', 1), f'a-{number}')
+        for number in range(MAX_CRASHES):
+            quarantine.on_restart((f'v-{number}', 1), f'a-{number}')
     for quarantine in daemons:
         state = quarantine.records.find_state('f')
         assert state is RequestState.quarantined
@@ -139,8 +139,8 @@
                 clock.move(timedelta(seconds=1))
                 run = (upstream, round_number)
                 for name in names:
-                    quarantine.on_end(name, run, upstream)
-                quarantine.on_return((upstream, round_number + 1), upstream)
+                    quarantine.on_crash(name, run, upstream)
+                quarantine.on_restart((upstream, round_number + 1), upstream)
             else:
                 for name in names:
                     quarantine.on_answer(name, (upstream, round_number))
@@ -162,7 +162,7 @@
     """Guards against a quarantine that operators don't see."""
     counters = Counters()
     quarantine = Quarantine(QuarantineRecords(FakeClock()), counters)
-    end(quarantine, MAX_ENDS)
+    end(quarantine, MAX_CRASHES)
     quarantine.adopt('g', ['u'], timedelta(0), 0)
     assert list(counters.gauges['requests_quarantined'].values()) == [2]
     quarantine.lift('f', 'test')
@@ -180,9 +180,9 @@
     far = build()
     for member, known in ((own, quarantine), (other, far)):
         members = FakeMembers(member, [own, other])
-        EndUpdates(known, members, network.join(member), clock)
+        CrashUpdates(known, members, network.join(member), clock)
     for number in range(200):
-        quarantine.on_end(f'f-{number}', ('u', 1), 'a')
+        quarantine.on_crash(f'f-{number}', ('u', 1), 'a')
     await clock.advance(SEND_DELAY)
     assert len(network.sent) == 1
     assert len(far.records) == 200
--- a/quetzalcourse/tests/coordination/quarantine/quarantine_rows_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/quarantine_store_tests.py
@@ -9,18 +9,20 @@
 import pytest
 
 from quetzalcourse.coordination.feeds.follower import TableFollower
-from quetzalcourse.coordination.quarantine import quarantine_rows as rows_module
+from quetzalcourse.coordination.quarantine import (
+    quarantine_store as store_module,
+)
 from quetzalcourse.coordination.quarantine.quarantine import Quarantine
-from quetzalcourse.coordination.quarantine.quarantine_rows import (
-    FEED_WAIT,
+from quetzalcourse.coordination.quarantine.quarantine_store import (
+    FEED_POLL_TIMEOUT,
     PREFIX,
     TABLE,
-    QuarantineRows,
+    QuarantineStore,
 )
 from quetzalcourse.coordination.quarantine.records import (
-    MAX_ENDS,
+    MAX_CRASHES,
     QUARANTINE_RETENTION,
-    QUARANTINE_TIME,
+    BASE_QUARANTINE_TIME,
     QuarantineRecords,
 )
 from quetzalcourse.state.counters import Counters
@@ -54,10 +56,15 @@
         """Begin to follow the table."""
         self.quarantine = Quarantine(QuarantineRecords(clock), Counters())
         follower = TableFollower(
-            feed, TABLE, clock, Counters(), single_part=True, wait=FEED_WAIT
+            feed,
+            TABLE,
+            clock,
+            Counters(),
+            single_part=True,
+            wait=FEED_POLL_TIMEOUT,
         )
         table: Any = feed
-        self.rows = QuarantineRows(
+        self.rows = QuarantineStore(
             self.quarantine, table, follower, StoreTime(clock), clock
         )
         self.tasks = [
@@ -67,9 +74,9 @@
 
     def end_upstreams(self) -> None:
         """Let enough upstreams end under a request."""
-        for number in range(MAX_ENDS):
-            self.quarantine.on_end('f', (f'u-{number}', 1), f'a-{number}')
-            self.quarantine.on_return((f'v-{number}', 2), f'a-{number}')
+        for number in range(MAX_CRASHES):
+            self.quarantine.on_crash('f', (f'u-{number}', 1), f'a-{number}')
+            self.quarantine.on_restart((f'v-{number}', 2), f'a-{number}')
 
     def find_state(self) -> RequestState:
         """Tell the state of the request."""
@@ -144,7 +151,7 @@
     """Guards against a quarantine that each restart prolongs."""
     (daemon,) = await world.start()
     daemon.end_upstreams()
-    await world.pass_time(QUARANTINE_TIME - 30 * NOTICED)
+    await world.pass_time(BASE_QUARANTINE_TIME - 30 * NOTICED)
     (late,) = await world.start()
     left = late.quarantine.records.find_time_left('f')
     assert NOTICED < left < 32 * NOTICED
@@ -180,7 +187,7 @@
     """Guards against a trial that ends an upstream for each daemon."""
     daemons = await world.start(3)
     daemons[0].end_upstreams()
-    await world.pass_time(QUARANTINE_TIME + NOTICED)
+    await world.pass_time(BASE_QUARANTINE_TIME + NOTICED)
     assert daemons[2].find_state() is RequestState.due
     claims = await asyncio.gather(*(one.rows.claim('f') for one in daemons))
     assert sorted(claims) == [False, False, True]
@@ -192,7 +199,7 @@
     """Guards against items that are never tried again."""
     (daemon,) = await world.start()
     daemon.end_upstreams()
-    await world.pass_time(QUARANTINE_TIME + NOTICED)
+    await world.pass_time(BASE_QUARANTINE_TIME + NOTICED)
     assert not daemon.quarantine.may_begin('f')
     await world.pass_time()
     assert daemon.quarantine.may_begin('f')
@@ -217,20 +224,20 @@
     world.feed.put(KEY, b'{')
     await world.pass_time()
     assert daemon.find_state() is RequestState.sound
-    assert rows_module.TABLE == KEY.partition('/')[0]
+    assert store_module.TABLE == KEY.partition('/')[0]
 
 
 async def test_few_daemons_write_what_all_learn(world: World) -> None:
     """Guards against a write of each daemon at the same moment."""
     daemons = await world.start(8)
-    for number in range(MAX_ENDS):
+    for number in range(MAX_CRASHES):
         run = (f'u-{number}', 1)
-        daemons[0].quarantine.on_end('f', run, f'a-{number}')
+        daemons[0].quarantine.on_crash('f', run, f'a-{number}')
         for daemon in daemons[1:]:
-            daemon.quarantine.records.on_end('f', run, f'a-{number}')
+            daemon.quarantine.records.on_crash('f', run, f'a-{number}')
     for daemon in daemons:
-        for number in range(MAX_ENDS):
-            daemon.quarantine.on_return((f'v-{number}', 2), f'a-{number}')
+        for number in range(MAX_CRASHES):
+            daemon.quarantine.on_restart((f'v-{number}', 2), f'a-{number}')
     await world.pass_time(10 * NOTICED)
     assert world.has_row
     assert world.feed.writes == 1
@@ -242,12 +249,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a quarantine that is lost with one daemon."""
-    monkeypatch.setattr(rows_module, 'IDLE', timedelta(milliseconds=20))
+    monkeypatch.setattr(
+        store_module, 'SYNC_INTERVAL', timedelta(milliseconds=20)
+    )
     daemons = await world.start(2)
-    for number in range(MAX_ENDS):
+    for number in range(MAX_CRASHES):
         run = (f'u-{number}', 1)
-        daemons[1].quarantine.records.on_end('f', run, f'a-{number}')
-        daemons[1].quarantine.on_return((f'v-{number}', 2), f'a-{number}')
+        daemons[1].quarantine.records.on_crash('f', run, f'a-{number}')
+        daemons[1].quarantine.on_restart((f'v-{number}', 2), f'a-{number}')
     await asyncio.sleep(0.1)
     await world.pass_time()
     assert world.has_row
--- a/quetzalcourse/tests/coordination/quarantine/records_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/records_tests.py
@@ -31,8 +31,8 @@
 ) -> None:
     """Let an upstream end under a request and begin anew."""
     upstream, started = run
-    records.on_end(name, run, upstream)
-    records.on_return((upstream, started + 1), upstream)
+    records.on_crash(name, run, upstream)
+    records.on_restart((upstream, started + 1), upstream)
 
 
 def test_third_end_quarantines() -> None:
@@ -53,9 +53,9 @@
 def test_end_of_one_run_counts_once() -> None:
     """Guards against blame for one end that several daemons report."""
     records, _ = build()
-    assert records.on_end('f', ('u', 1), 'u')
-    assert not records.on_end('f', ('u', 1), 'u')
-    assert records.on_end('f', ('u', 2), 'u')
+    assert records.on_crash('f', ('u', 1), 'u')
+    assert not records.on_crash('f', ('u', 1), 'u')
+    assert records.on_crash('f', ('u', 2), 'u')
     assert records.find_state('f') is RequestState.suspect
 
 
@@ -81,7 +81,7 @@
 def test_trials_come_later_each_time_and_end() -> None:
     """Guards against upstreams that end for trials all day long."""
     records, clock = build()
-    end(records, limits.MAX_ENDS)
+    end(records, limits.MAX_CRASHES)
     waits = []
     for trial in range(limits.MAX_TRIALS):
         wait = records.find_time_left('f')
@@ -91,7 +91,9 @@
         assert records.find_state('f') is RequestState.due
         records.quarantine('f', timedelta(0), trial + 1)
         waits.append(wait)
-    assert waits == [limits.QUARANTINE_TIME * factor for factor in (1, 2, 4)]
+    assert waits == [
+        limits.BASE_QUARANTINE_TIME * factor for factor in (1, 2, 4)
+    ]
     clock.move(limits.QUARANTINE_RETENTION - SECOND)
     assert records.find_state('f') is RequestState.quarantined
     clock.move(2 * SECOND)
@@ -101,14 +103,14 @@
 def test_quarantine_that_is_learned_late_ends_in_time() -> None:
     """Guards against a quarantine that each restart prolongs."""
     records, _ = build()
-    records.quarantine('f', limits.QUARANTINE_TIME - SECOND)
+    records.quarantine('f', limits.BASE_QUARANTINE_TIME - SECOND)
     assert records.find_time_left('f') == SECOND
 
 
 def test_number_of_records_is_bounded() -> None:
     """Guards against a caller who fills the memory with requests."""
     records, clock = build()
-    end(records, limits.MAX_ENDS, 'quarantined')
+    end(records, limits.MAX_CRASHES, 'quarantined')
     for number in range(limits.MAX_RECORDS + 10):
         clock.move(timedelta(milliseconds=1))
         end(records, 1, f'f-{number}')
@@ -120,13 +122,13 @@
 def test_ends_hold_a_request_until_they_are_confirmed() -> None:
     """Guards against a fourth end while upstreams are still down."""
     records, clock = build()
-    for number in range(limits.MAX_ENDS):
-        records.on_end('f', (f'u-{number}', 1), f'a-{number}')
+    for number in range(limits.MAX_CRASHES):
+        records.on_crash('f', (f'u-{number}', 1), f'a-{number}')
     assert records.find_state('f') is RequestState.held
     assert not records.list_quarantined()
     returned = [
-        records.on_return((f'v-{number}', 2), f'a-{number}')
-        for number in range(limits.MAX_ENDS)
+        records.on_restart((f'v-{number}', 2), f'a-{number}')
+        for number in range(limits.MAX_CRASHES)
     ]
     assert returned == [[], [], ['f']]
     clock.move(limits.UNCONFIRMED_TTL * 2)
@@ -136,10 +138,10 @@
 def test_ends_that_are_never_confirmed_are_forgotten() -> None:
     """Guards against blame for a partition that resets connections."""
     records, clock = build()
-    for number in range(limits.MAX_ENDS):
-        records.on_end('f', (f'u-{number}', 1), f'a-{number}')
+    for number in range(limits.MAX_CRASHES):
+        records.on_crash('f', (f'u-{number}', 1), f'a-{number}')
         # The same run registers again once the partition is over.
-        records.on_return((f'u-{number}', 1), f'a-{number}')
+        records.on_restart((f'u-{number}', 1), f'a-{number}')
     clock.move(limits.UNCONFIRMED_TTL + SECOND)
     assert records.find_state('f') is RequestState.sound
     assert not len(records)
@@ -148,8 +150,8 @@
 def test_upstream_that_answers_has_not_ended() -> None:
     """Guards against blame after a connection was reset on its way."""
     records, _ = build()
-    for number in range(limits.MAX_ENDS):
-        records.on_end('f', (f'u-{number}', 1), f'a-{number}')
+    for number in range(limits.MAX_CRASHES):
+        records.on_crash('f', (f'u-{number}', 1), f'a-{number}')
     records.on_alive(('u-0', 1))
     assert records.find_state('f') is RequestState.suspect
 
@@ -163,26 +165,26 @@
     for number in range(6):
         # A request that is retried meets one after another.
         run = (f'u-{number}', 1)
-        records.on_end('f' if number < 4 else 'other', run, f'a-{number}')
+        records.on_crash('f' if number < 4 else 'other', run, f'a-{number}')
         clock.move(timedelta(milliseconds=2))
     if confirmed:
         for number in range(6):
-            records.on_return((f'v-{number}', 2), f'a-{number}')
+            records.on_restart((f'v-{number}', 2), f'a-{number}')
     assert records.find_state('f') is RequestState.sound
     for number in range(2):
         clock.move(SECOND)
-        records.on_end('f', (f'w-{number}', 1), f'b-{number}')
+        records.on_crash('f', (f'w-{number}', 1), f'b-{number}')
     assert records.find_state('f') is RequestState.held
 
 
 def test_bystander_is_not_blamed_for_what_another_request_did() -> None:
     """Guards against blame for requests that shared all three upstreams."""
     records, clock = build()
-    for number in range(limits.MAX_ENDS):
+    for number in range(limits.MAX_CRASHES):
         run = (f'u-{number}', 1)
         for name in ('bystander', 'f'):
-            records.on_end(name, run, f'a-{number}')
-        records.on_return((f'v-{number}', 2), f'a-{number}')
+            records.on_crash(name, run, f'a-{number}')
+        records.on_restart((f'v-{number}', 2), f'a-{number}')
         clock.move(SECOND)
     # Nobody can tell them apart yet: both run, apart from each other.
     for name in ('bystander', 'f'):
@@ -190,6 +192,6 @@
     end_one(records, ('w', 1))
     assert records.find_state('f') is RequestState.quarantined
     assert records.find_state('bystander') is RequestState.suspect
-    records.on_end('bystander', ('x', 1), 'b')
-    records.on_return(('y', 2), 'b')
+    records.on_crash('bystander', ('x', 1), 'b')
+    records.on_restart(('y', 2), 'b')
     assert records.find_state('bystander') is RequestState.quarantined
--- a/quetzalcourse/tests/coordination/requests/generation_tests.py
+++ b/quetzalcourse/tests/coordination/requests/generation_tests.py
@@ -14,8 +14,8 @@
 
 from quetzalcourse.coordination.requests.generation import Generation
 from quetzalcourse.coordination.requests.retries import RetryBudget
-from quetzalcourse.coordination.routing.health import Health
-from quetzalcourse.coordination.routing.leaving import Departure
+from quetzalcourse.coordination.routing.outlier_detection import OutlierDetector
+from quetzalcourse.coordination.routing.drain_tracker import DrainNotice
 from quetzalcourse.coordination.routing.routing import Router
 from quetzalcourse.coordination.slots.admission import Admission
 from quetzalcourse.exceptions import RefusedError
@@ -59,7 +59,7 @@
         self.engines = FakeEngines(list(scripts))
         self.admission = WatchedAdmission(self.clock)
         router = Router('hall')
-        health = Health(self.clock, self.counters, Random(1))
+        health = OutlierDetector(self.clock, self.counters, Random(1))
         self.budget = RetryBudget()
         self.generation = Generation(
             self.admission,
@@ -256,7 +256,7 @@
     task = asyncio.create_task(bench.run(bench.build_request(traffic_class)))
     await settle()
     name = bench.engines.sent[0][0]
-    bench.generation.interruptions.on_departure(Departure(name, humans))
+    bench.generation.interruptions.on_departure(DrainNotice(name, humans))
     await settle()
     assert task.done() is moves
     task.cancel()
