--- a/quetzalcourse/tests/coordination/routing/upstream_view_tests.py
+++ b/quetzalcourse/tests/coordination/routing/upstream_view_tests.py
@@ -10,10 +10,16 @@
 import pytest
 from result import Err, Ok, Result
 
-from quetzalcourse.coordination.routing.health import Health
-from quetzalcourse.coordination.routing.leaving import Departure, Leaving
-from quetzalcourse.coordination.routing.observer import Observer
-from quetzalcourse.coordination.routing.prefixes import PrefixHints, hash_prefix
+from quetzalcourse.coordination.routing.outlier_detection import OutlierDetector
+from quetzalcourse.coordination.routing.drain_tracker import (
+    DrainNotice,
+    DrainTracker,
+)
+from quetzalcourse.coordination.routing.engine_poller import EnginePoller
+from quetzalcourse.coordination.routing.prefixes import (
+    PrefixCacheHints,
+    hash_prefix,
+)
 from quetzalcourse.coordination.routing.reports import EngineReports
 from quetzalcourse.coordination.routing.routing import Router
 from quetzalcourse.state.counters import Counters
@@ -70,16 +76,16 @@
         """Build the parts around four engines."""
         self.clock = FakeClock()
         self.reports = EngineReports()
-        self.prefixes = PrefixHints()
-        self.leaving = Leaving(self.clock)
+        self.prefixes = PrefixCacheHints()
+        self.leaving = DrainTracker(self.clock)
         self.running = dict.fromkeys(NAMES, 0)
         self.answers: dict[str, EngineReport] = dict.fromkeys(NAMES, REPORT)
         self.changes: dict[str, list[CacheChange]] = {}
-        self.departures: list[Departure] = []
+        self.departures: list[DrainNotice] = []
         self.slow = ''
         self.problem = OrderProblem.unanswered
         self.router = Router('hall', self.leaving, self.reports, self.prefixes)
-        self.observer = Observer(
+        self.observer = EnginePoller(
             'hall',
             self,
             self.leaving,
@@ -89,7 +95,7 @@
             Counters(),
             self.running.__getitem__,
         )
-        self.observer.on_departure(self.departures.append)
+        self.observer.on_drain(self.departures.append)
         self.adopt(make_manifest(*windows))
 
     def adopt(self, manifest: Manifest) -> None:
@@ -155,7 +161,7 @@
     view = View()
     for name, version in reported.items():
         view.answers[name] = replace(REPORT, weight_version=version)
-    await view.observer.observe_all(far=True)
+    await view.observer.poll_all(include_remote=True)
     assert set(view.rank(**wanted)) == expected
 
 
@@ -164,10 +170,10 @@
     # engine that was idle in its last report.
     view = View()
     view.answers['a'] = replace(REPORT, running=2, queued=1)
-    await view.observer.observe_all(far=True)
+    await view.observer.poll_all(include_remote=True)
     assert view.reports.estimate_running('a', 0) == 3
     view.running['a'] = 1
-    await view.observer.observe_all(far=True)
+    await view.observer.poll_all(include_remote=True)
     assert view.reports.estimate_running('a', 1) == 3
     assert view.reports.estimate_running('a', 0) == 2
     for name in ('b', 'c'):
@@ -200,7 +206,7 @@
     if sent:
         view.router.on_sent(sent, make_request())
     view.changes['b'] = changes
-    await view.observer.observe_all(far=True)
+    await view.observer.poll_all(include_remote=True)
     assert view.prefixes.holds('b', hash_prefix('prompt')) is warm
     if warm:
         assert view.rank()[0] == 'b'
@@ -225,12 +231,12 @@
     # An engine that answers no more may have been replaced by an empty one,
     # and one that nobody listens for has lost its cache.
     view = View()
-    await view.observer.observe_all(far=True)
+    await view.observer.poll_all(include_remote=True)
     view.router.on_sent('a', make_request())
     del view.answers['a']
     view.problem = problem
     for _ in range(rounds):
-        await view.observer.observe_all(far=True)
+        await view.observer.poll_all(include_remote=True)
     assert (view.reports.find('a') is not None) is believed
     assert view.prefixes.holds('a', hash_prefix('prompt')) is warm
 
@@ -240,11 +246,11 @@
     # cut, and a reader's answer with it.
     view = View()
     view.answers['a'] = replace(REPORT, leaving=True)
-    await view.observer.observe_all(far=False)
+    await view.observer.poll_all(include_remote=False)
     assert 'a' not in view.rank()
-    assert view.departures == [Departure('a', humans=False)]
+    assert view.departures == [DrainNotice('a', humans=False)]
     view.answers['a'] = REPORT
-    await view.observer.observe_all(far=False)
+    await view.observer.poll_all(include_remote=False)
     assert 'a' in view.rank()
 
 
@@ -276,7 +282,7 @@
             Vm('a', 'hall', '127.0.0.1:1'),
         ]
     )
-    await view.observer.observe_all(far=False)
+    await view.observer.poll_all(include_remote=False)
     assert set(view.rank()) == {'a', 'd'}
 
 
@@ -284,11 +290,11 @@
     ('seconds', 'is_open', 'departures'),
     [
         (0, True, []),
-        (62, False, [Departure('a', humans=False)]),
+        (62, False, [DrainNotice('a', humans=False)]),
         (
             123,
             False,
-            [Departure('a', humans=False), Departure('a', humans=True)],
+            [DrainNotice('a', humans=False), DrainNotice('a', humans=True)],
         ),
         (183, True, []),
     ],
@@ -296,7 +302,7 @@
 async def test_maintenance_window(
     seconds: int,
     is_open: bool,
-    departures: list[Departure],
+    departures: list[DrainNotice],
 ) -> None:
     # The landlord switches a cage off. Work that was sent there a moment
     # before would be cut, so it goes elsewhere a minute ahead; at the start
@@ -306,7 +312,7 @@
     view = View(window)
     for _ in range(seconds):
         view.clock.move(SECOND)
-        await view.observer.observe_all(far=False)
+        await view.observer.poll_all(include_remote=False)
     assert ('a' in view.rank()) is is_open
     if departures:
         assert view.departures == departures
@@ -318,7 +324,7 @@
     def __init__(self) -> None:
         """Begin with all of them well."""
         self.clock = FakeClock()
-        self.health = Health(self.clock, Counters(), Random(7))
+        self.health = OutlierDetector(self.clock, Counters(), Random(7))
         self.health.on_manifest(make_manifest())
 
     def fail(self, name: str, times: int, *, connected: bool) -> None:
@@ -338,7 +344,7 @@
     for name in NAMES:
         ward.fail(name, 3, connected=False)
     assert ward.list_admitted() == []
-    assert timedelta(0) < ward.health.measure_wait(NAMES) <= SECOND
+    assert timedelta(0) < ward.health.find_retry_delay(NAMES) <= SECOND
     ward.clock.move(SECOND)
     assert ward.list_admitted() == list(NAMES)
     ward.health.on_start('a')
--- a/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
@@ -23,21 +23,21 @@
 from quetzalcourse.state.slots import (
     AccountLoad,
     Allowance,
-    LoadKey,
+    QueueKey,
     SlotReport,
-    SlotTerms,
+    SlotTimings,
 )
 from quetzalcourse.tests.slots import make_upstream
 
 ZERO = timedelta(0)
-TERMS = SlotTerms()
+TERMS = SlotTimings()
 SHARES = {'a': 1, 'b': 1}
 
 
-def make_key(account: int, *, human: bool = False) -> LoadKey:
+def make_key(account: int, *, human: bool = False) -> QueueKey:
     """Name an account's training, or its humans."""
     traffic_class = TrafficClass.human if human else TrafficClass.training
-    return LoadKey(traffic_class, account)
+    return QueueKey(traffic_class, account)
 
 
 def make_report(
--- a/quetzalcourse/tests/coordination/slots/slot_sharing_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_sharing_tests.py
@@ -12,7 +12,7 @@
 
 from quetzalcourse.coordination.slots.ownership import find_owner
 from quetzalcourse.state.generation import TrafficClass
-from quetzalcourse.state.slots import SlotTerms
+from quetzalcourse.state.slots import SlotTimings
 from quetzalcourse.tests.slots import (
     Deployment,
     Holder,
@@ -22,7 +22,7 @@
 
 HUMAN = TrafficClass.human
 TRAINING = TrafficClass.training
-TERMS = SlotTerms()
+TERMS = SlotTimings()
 SLOTS = 8
 HEADROOM = 2
 FALLBACK = 2
--- a/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
+++ b/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
@@ -17,13 +17,13 @@
     EngineReport,
     OrderProblem,
 )
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.manifest import Manifest, Upstream, UpstreamKind
 from quetzalcourse.state.waves import WavePlan
 from quetzalcourse.tests.step_world import MODEL, FakePlatform
 
 HALL = 'hall'
-TERMS = LeaseTerms(timedelta(seconds=10), timedelta(seconds=2))
+TERMS = LeaseTimings(timedelta(seconds=10), timedelta(seconds=2))
 PLAN = WavePlan(0.5, 10.0, timedelta(seconds=5))
 
 
--- a/quetzalcourse/tests/feeds.py
+++ b/quetzalcourse/tests/feeds.py
@@ -10,8 +10,8 @@
 
 from quetzalcourse.state.rows import (
     ABSENT,
-    Changes,
-    Commit,
+    RowChanges,
+    TransactionResult,
     FaultKind,
     Row,
     StoreFault,
@@ -65,7 +65,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows if every condition holds."""
         self.writes += 1
         if self.down:
@@ -75,14 +75,14 @@
             exists = known is not None and not known.removed
             version = known.version if known and exists else ABSENT
             if version != condition.version:
-                return Ok(Commit(applied=False))
+                return Ok(TransactionResult(applied=False))
         version = ABSENT
         for write in transaction.writes:
             if write.content is None:
                 version = self.remove(write.key)
             else:
                 version = self.put(write.key, write.content)
-        return Ok(Commit(applied=True, version=version))
+        return Ok(TransactionResult(applied=True, version=version))
 
     async def list_parts(self, table: str) -> Result[list[str], StoreFault]:
         """List the parts of the table."""
@@ -92,7 +92,7 @@
         self,
         table: str,
         part: str,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Read the rows of a part."""
         self.reads += 1
         rows = [
@@ -100,14 +100,14 @@
             for key, row in self.rows.items()
             if key.split('/')[1] == part and not row.removed
         ]
-        return Ok(Changes(tuple(rows), self._version))
+        return Ok(RowChanges(tuple(rows), self._version))
 
     async def follow(
         self,
         table: str,
         version: int,
         wait: timedelta,
-    ) -> Result[Changes, StoreFault]:
+    ) -> Result[RowChanges, StoreFault]:
         """Wait for rows behind a version."""
         self.reads += 1
         if self.down:
@@ -118,7 +118,7 @@
             (row for row in self.rows.values() if row.version > version),
             key=lambda row: row.version,
         )
-        return Ok(Changes(tuple(newer), self._version))
+        return Ok(RowChanges(tuple(newer), self._version))
 
     async def _wait(self, wait: timedelta) -> None:
         changed = asyncio.ensure_future(self._changed.wait())
--- a/quetzalcourse/tests/gates.py
+++ b/quetzalcourse/tests/gates.py
@@ -17,7 +17,7 @@
     from collections.abc import Awaitable, Callable
 
     from quetzalcourse.state.rows import (
-        Commit,
+        TransactionResult,
         Row,
         StoreFault,
         Transaction,
@@ -59,7 +59,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows together."""
         return await self._pass(partial(self._store.transact, transaction))
 
@@ -113,7 +113,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows together."""
         return await self._pass(lambda: self._store.transact(transaction))
 
--- a/quetzalcourse/tests/platform/upstreams_tests.py
+++ b/quetzalcourse/tests/platform/upstreams_tests.py
@@ -17,15 +17,15 @@
     StreamEvent,
 )
 from quetzalcourse.state.calls import (
-    AnswerState,
-    AttemptTerms,
-    BatchVerb,
+    ResponseOutcome,
+    AttemptMetadata,
+    BatchOperation,
     RequestHead,
 )
 from quetzalcourse.state.pool import LoadReport
 from quetzalcourse.state.rows import Condition, Transaction, Write
 
-TERMS = AttemptTerms('i-1', 'desk', timedelta(milliseconds=1234.5))
+TERMS = AttemptMetadata('i-1', 'desk', timedelta(milliseconds=1234.5))
 UPSTREAMS = PlatformUpstreams()
 CALLERS = PlatformCallers()
 
@@ -41,33 +41,33 @@
 @pytest.mark.parametrize(
     ('status', 'headers', 'state'),
     [
-        (200, {'X-Request-Id': 'r'}, AnswerState.served),
-        (200, {'X-Request-Id': 'other'}, AnswerState.foreign),
-        (200, {}, AnswerState.foreign),
-        (503, {'X-Not-Executed': '1'}, AnswerState.not_run),
+        (200, {'X-Request-Id': 'r'}, ResponseOutcome.served),
+        (200, {'X-Request-Id': 'other'}, ResponseOutcome.foreign),
+        (200, {}, ResponseOutcome.foreign),
+        (503, {'X-Not-Executed': '1'}, ResponseOutcome.not_run),
         (
             503,
             {'X-Not-Executed': '1', 'X-Request-Id': 'r'},
-            AnswerState.not_run,
+            ResponseOutcome.not_run,
         ),
         (
             503,
             {'X-Not-Executed': '1', 'X-Request-Id': 'other'},
-            AnswerState.foreign,
+            ResponseOutcome.foreign,
         ),
-        (503, {'X-Request-Id': 'r'}, AnswerState.unfinished),
-        (504, {'X-Request-Id': 'r'}, AnswerState.unfinished),
-        (502, {'X-Request-Id': 'r'}, AnswerState.unfinished),
-        (422, {'X-Request-Id': 'other'}, AnswerState.foreign),
-        (421, {}, AnswerState.not_run),
-        (422, {'X-Request-Id': 'r'}, AnswerState.impossible),
-        (500, {'X-Request-Id': 'r'}, AnswerState.failed),
+        (503, {'X-Request-Id': 'r'}, ResponseOutcome.unfinished),
+        (504, {'X-Request-Id': 'r'}, ResponseOutcome.unfinished),
+        (502, {'X-Request-Id': 'r'}, ResponseOutcome.unfinished),
+        (422, {'X-Request-Id': 'other'}, ResponseOutcome.foreign),
+        (421, {}, ResponseOutcome.not_run),
+        (422, {'X-Request-Id': 'r'}, ResponseOutcome.impossible),
+        (500, {'X-Request-Id': 'r'}, ResponseOutcome.failed),
     ],
 )
 def test_answers_are_told_apart(
     status: int,
     headers: dict[str, str],
-    state: AnswerState,
+    state: ResponseOutcome,
 ) -> None:
     # Only an upstream that says so itself did not run a request; taking any
     # other answer for that would run it twice, and taking another request's
@@ -141,22 +141,22 @@
 @pytest.mark.parametrize(
     ('method', 'target', 'verb'),
     [
-        ('GET', '/quetzalcourse/lots/b?after=3', BatchVerb.read_results),
-        ('DELETE', '/quetzalcourse/lots/b', BatchVerb.end),
-        ('GET', '/quetzalcourse/items/b?id=i', BatchVerb.read_item),
+        ('GET', '/quetzalcourse/lots/b?after=3', BatchOperation.read_results),
+        ('DELETE', '/quetzalcourse/lots/b', BatchOperation.end),
+        ('GET', '/quetzalcourse/items/b?id=i', BatchOperation.read_item),
         ('GET', '/lots/b', None),
     ],
 )
 def test_calls_about_batches_are_told_apart(
     method: str,
     target: str,
-    verb: BatchVerb | None,
+    verb: BatchOperation | None,
 ) -> None:
     """Other requests are no such calls."""
     head = RequestHead(method, target, 'verse.example', ())
     call = CALLERS.read_call(head)
     assert (call.verb if call else None) is verb
-    if verb is BatchVerb.read_results:
+    if verb is BatchOperation.read_results:
         assert call is not None
         assert call.position == 3
 
--- a/quetzalcourse/tests/rollout/quarantine_tests.py
+++ b/quetzalcourse/tests/rollout/quarantine_tests.py
@@ -25,7 +25,7 @@
     from quetzalcourse.standins.rollout.world import Reply, RolloutWorld
 
 POISON = b'poison'
-MAX_ENDS = 3
+MAX_CRASHES = 3
 RETURNS = 5
 NOTICED_SECONDS = 0.3
 STREAM_HEADERS = {'X-Model': documents.MODEL, 'X-Token-Counts': '8,8'}
@@ -92,7 +92,7 @@
     for number in range(RETURNS):
         await ask(pair, path, number)
         await await_return()
-    assert count_ends(servers) <= MAX_ENDS
+    assert count_ends(servers) <= MAX_CRASHES
     assert (await ask(pair, path, 0, b'salt')).status == 200  # type: ignore
 
 
@@ -106,8 +106,8 @@
     assert (
         await pair.caller.submit(pair.address(), 'b-1', batch)
     ).status == 202
-    await asyncio.sleep(2 * MAX_ENDS * (RESTART_SECONDS + NOTICED_SECONDS))
-    assert count_ends(pair.engines) <= MAX_ENDS
+    await asyncio.sleep(2 * MAX_CRASHES * (RESTART_SECONDS + NOTICED_SECONDS))
+    assert count_ends(pair.engines) <= MAX_CRASHES
     reply = await pair.caller.read(pair.address(1), 'b-1')
     assert {result['id'] for result in reply.read()['results']} == {
         'good',
@@ -125,8 +125,8 @@
     assert (
         await pair.caller.submit(pair.address(), 'b-1', batch)
     ).status == 202
-    await asyncio.sleep(2 * MAX_ENDS * (RESTART_SECONDS + NOTICED_SECONDS))
-    assert count_ends(pair.services) <= MAX_ENDS
+    await asyncio.sleep(2 * MAX_CRASHES * (RESTART_SECONDS + NOTICED_SECONDS))
+    assert count_ends(pair.services) <= MAX_CRASHES
     assert (await ask(pair, LOOKUP, 0, b'salt')).status == 200  # type: ignore
 
 
@@ -137,7 +137,7 @@
     for number in range(2):
         await ask(world, LOOKUP, number)
         await await_return()
-    assert count_ends(world.services) == MAX_ENDS
+    assert count_ends(world.services) == MAX_CRASHES
 
 
 async def test_quarantined_request_is_refused_at_once(
@@ -217,7 +217,7 @@
         await ask(pair, LOOKUP, number)
         await asyncio.gather(*asking)
         await await_return()
-    assert 2 <= count_ends(pair.services) <= MAX_ENDS
+    assert 2 <= count_ends(pair.services) <= MAX_CRASHES
     runs = [run for server in pair.services for run in server.runs]
     struck = Counter(run.body for run in runs if run.body in bodies)
     assert max(struck.values()) >= 2
@@ -236,7 +236,7 @@
     await await_acquaintance(pair)
     for server in pair.services:
         server.faults.slow = 10
-    for _ in range(MAX_ENDS):
+    for _ in range(MAX_CRASHES):
         asking = [
             asyncio.ensure_future(ask(pair, LOOKUP, number, b'popular'))
             for number in range(4)
--- a/quetzalcourse/tests/tables.py
+++ b/quetzalcourse/tests/tables.py
@@ -14,7 +14,7 @@
     unpack_row,
 )
 from quetzalcourse.standins.platform import TableStandin
-from quetzalcourse.state.rows import Commit, FaultKind, StoreFault
+from quetzalcourse.state.rows import TransactionResult, FaultKind, StoreFault
 
 if TYPE_CHECKING:
     from quetzalcourse.state.rows import Row, Transaction
@@ -61,7 +61,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows together, with the next fault if there is one."""
         self.writes += 1
         fault = self.write_faults.popleft() if self.write_faults else ''
@@ -83,7 +83,7 @@
         if fault == 'lost_after':
             return Err(make_fault(FaultKind.unanswered))
         conflicts = tuple(unpack_row(row) for row in commit.conflicts)
-        return Ok(Commit(commit.applied, conflicts))
+        return Ok(TransactionResult(commit.applied, conflicts))
 
     async def get(self, name: str) -> Result[bytes | None, StoreFault]:
         """Read an object."""
--- a/quetzalcourse/tests/usage_world.py
+++ b/quetzalcourse/tests/usage_world.py
@@ -19,7 +19,7 @@
 from quetzalcourse.standins.virtual_time import VirtualClock
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.engines import OrderProblem
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.manifest import Upstream, UpstreamKind
 from quetzalcourse.state.members import Member
 from quetzalcourse.state.usage import (
@@ -39,7 +39,7 @@
 LENGTH = timedelta(seconds=60)
 GRACE = timedelta(seconds=10)
 INTERVAL = timedelta(seconds=5)
-TERMS = LeaseTerms(
+TERMS = LeaseTimings(
     timedelta(seconds=10), timedelta(seconds=2), timedelta(seconds=2)
 )
 SUSPICION = 4
--- a/quetzalcourse/transport/batch_routes.py
+++ b/quetzalcourse/transport/batch_routes.py
@@ -9,7 +9,7 @@
 from quetzalcourse.coordination.batches.batches import OutcomeUnknownError
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import BatchVerb
+from quetzalcourse.state.calls import BatchOperation
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 from quetzalcourse.transport.gateway import send_answer
 from quetzalcourse.transport.web import abort_connection
@@ -68,10 +68,10 @@
         client_account: str,
     ) -> None:
         """Serve a call about a batch."""
-        if call.verb is BatchVerb.end:
+        if call.verb is BatchOperation.end:
             await self._batches.end(call.batch, client_account)
             await send_answer(request, b'{}')
-        elif call.verb is BatchVerb.read_item:
+        elif call.verb is BatchOperation.read_item:
             body = await self._batches.read_item(
                 call.batch, client_account, call.item
             )
--- a/quetzalcourse/transport/dialect.py
+++ b/quetzalcourse/transport/dialect.py
@@ -17,10 +17,10 @@
         Submission,
     )
     from quetzalcourse.state.calls import (
-        AnswerMarks,
-        AttemptTerms,
+        ResponseMetadata,
+        AttemptMetadata,
         BatchCall,
-        CallerTerms,
+        CallerMetadata,
         RequestHead,
     )
 
@@ -28,7 +28,7 @@
 class CallerDialect(Protocol):
     """How callers say what they want."""
 
-    def read_terms(self, head: RequestHead) -> CallerTerms:
+    def read_terms(self, head: RequestHead) -> CallerMetadata:
         """Read what every request may say."""
 
     def read_call(self, head: RequestHead) -> BatchCall | None:
@@ -50,7 +50,7 @@
     def write_request(
         self,
         head: RequestHead,
-        terms: AttemptTerms,
+        terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of a caller's request for an upstream."""
 
@@ -58,14 +58,14 @@
         self,
         item: BatchItem,
         host: str,
-        terms: AttemptTerms,
+        terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of an item's request for an upstream."""
 
     def write_scoring(
         self,
         call: ScoringCall,
-        terms: AttemptTerms,
+        terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of a scoring call for an upstream."""
 
@@ -74,7 +74,7 @@
         request_id: str,
         status: int,
         headers: Mapping[str, str],
-    ) -> AnswerMarks:
+    ) -> ResponseMetadata:
         """Read the head of an answer."""
 
     def read_event(self, frame: bytes) -> StreamEvent | None:
--- a/quetzalcourse/transport/forward_routes.py
+++ b/quetzalcourse/transport/forward_routes.py
@@ -6,7 +6,7 @@
 
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import AnswerState, AttemptTerms
+from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.headers import HOP_BY_HOP, list_named
 from quetzalcourse.transport.relay import AnswerStream
 from quetzalcourse.transport.upstream_calls import (
@@ -24,7 +24,7 @@
 
     from quetzalcourse.coordination.forwarding.forwarding import (
         Forwarder,
-        Forwarding,
+        ForwardedRequest,
     )
     from quetzalcourse.coordination.forwarding.pool import Pool
     from quetzalcourse.coordination.forwarding.upstream import Upstream
@@ -89,7 +89,7 @@
         self,
         request: Request,
         head: RequestHead,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         body: SpooledBody,
     ) -> None:
         """Serve one request by one upstream after another.
@@ -113,7 +113,7 @@
     async def _choose(
         self,
         caller: CallerAnswer,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
     ) -> Upstream | None:
         try:
             await self._forwarder.admit(forwarding)
@@ -127,7 +127,7 @@
     def _goes_on(
         self,
         caller: CallerAnswer,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         error: AttemptFailedError,
     ) -> bool:
         if caller.is_broken:
@@ -138,11 +138,11 @@
         if caller.begun:
             caller.cut()
             return False
-        raise RefusedError(self._forwarder.refuse(forwarding)) from None
+        raise RefusedError(self._forwarder.build_refusal(forwarding)) from None
 
     def _note(
         self,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         upstream: Upstream,
         error: AttemptFailedError,
     ) -> None:
@@ -162,12 +162,12 @@
         self,
         caller: CallerAnswer,
         head: RequestHead,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         body: SpooledBody,
         upstream: Upstream,
     ) -> None:
-        left = self._forwarder.measure_left(forwarding)
-        terms = AttemptTerms(
+        left = self._forwarder.find_time_left(forwarding)
+        terms = AttemptMetadata(
             upstream.name,
             forwarding.client_account,
             left,
@@ -198,12 +198,12 @@
         except CallLostError as error:
             not_run = error.state is LostState.not_sent
             if error.state is not LostState.unanswered:
-                self._forwarder.on_silence(forwarding, upstream)
+                self._forwarder.on_no_response(forwarding, upstream)
             if not_run:
                 self._forwarder.on_not_sent(forwarding, upstream)
             if error.state is LostState.late:
-                self._forwarder.on_late(forwarding)
-                self._pool.on_late(upstream)
+                self._forwarder.on_timeout(forwarding)
+                self._pool.on_timeout(upstream)
             else:
                 self._pool.on_failure(upstream, error.state.value)
             if error.state is LostState.unanswered:
@@ -223,7 +223,7 @@
     def _judge(
         self,
         caller: CallerAnswer,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         upstream: Upstream,
         answer: aiohttp.ClientResponse,
     ) -> None:
@@ -231,15 +231,15 @@
             forwarding.request_id, answer.status, answer.headers
         )
         self._pool.on_load(upstream, marks.load)
-        if marks.state is AnswerState.not_run:
-            self._pool.on_busy(upstream, '')
+        if marks.state is ResponseOutcome.not_run:
+            self._pool.on_model_refused(upstream, '')
             raise AttemptFailedError(f'status {answer.status}', not_run=True)
-        if marks.state is AnswerState.foreign:
+        if marks.state is ResponseOutcome.foreign:
             self._pool.on_failure(upstream, 'foreign answer')
             raise AttemptFailedError('foreign answer', not_run=False)
         self._forwarder.on_answer(forwarding)
         failed = answer.status >= SERVER_ERROR
-        if caller.begun and marks.state is not AnswerState.served:
+        if caller.begun and marks.state is not ResponseOutcome.served:
             raise AttemptFailedError(f'status {answer.status}', not_run=False)
         if failed and self._forwarder.may_repeat(forwarding, not_run=False):
             raise AttemptFailedError(f'status {answer.status}', not_run=False)
@@ -248,13 +248,13 @@
 
     def _finish(
         self,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         upstream: Upstream,
         answer: aiohttp.ClientResponse,
     ) -> None:
         self._pool.on_success(upstream)
-        self._quarantine.on_answer(forwarding.fingerprint, upstream.run)
-        self._pool.on_kept(upstream, self._calls.keep_alive)
+        self._quarantine.on_answer(forwarding.fingerprint, upstream.run_id)
+        self._pool.on_idle_connection(upstream, self._calls.keep_alive)
         log.info(
             'Request answered.',
             request_id=forwarding.request_id,
@@ -268,10 +268,10 @@
     async def _relay(
         self,
         caller: CallerAnswer,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         answer: aiohttp.ClientResponse,
     ) -> None:
-        left = self._forwarder.measure_left(forwarding)
+        left = self._forwarder.find_time_left(forwarding)
         pieces = read_pieces(answer, left)
         if answer.headers.get('Content-Type', '').startswith(EVENT_STREAM):
             await caller.begin(answer)
@@ -294,7 +294,7 @@
     async def _relay_events(
         self,
         caller: CallerAnswer,
-        forwarding: Forwarding,
+        forwarding: ForwardedRequest,
         pieces: AsyncIterator[bytes],
     ) -> None:
         """Send whole events on as they arrive.
--- a/quetzalcourse/transport/front.py
+++ b/quetzalcourse/transport/front.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.forwarding.forwarding import Forwarding
+from quetzalcourse.coordination.forwarding.forwarding import ForwardedRequest
 from quetzalcourse.coordination.forwarding.route_table import choose_service
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.state.refusal import Refusal, RefusalCode
@@ -19,7 +19,7 @@
     from sanic import Request
 
     from quetzalcourse.coordination.forwarding.residency import Residency
-    from quetzalcourse.state.calls import CallerTerms, RequestHead
+    from quetzalcourse.state.calls import CallerMetadata, RequestHead
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.routing import Route
@@ -93,12 +93,12 @@
         except ValueError:
             raise RefusedError(_refuse_query()) from None
         if call is not None:
-            holder = self._routes.identify(terms.key)
+            holder = self._routes.authenticate(terms.key)
             account = holder.client_account if holder else ''
             await self._batches.serve(request, call, account)
             return call.verb.value
         route = self._routes.match(head.host, head.path)
-        holder = None if route.public else self._routes.identify(terms.key)
+        holder = None if route.public else self._routes.authenticate(terms.key)
         account = holder.client_account if holder else ''
         body = self._read_body(request)
         if route.kind is RouteKind.batch and head.method == SUBMIT:
@@ -127,14 +127,14 @@
 
 def _build_forwarding(
     route: Route,
-    terms: CallerTerms,
+    terms: CallerMetadata,
     client_account: str,
     began: timedelta,
-) -> Forwarding:
+) -> ForwardedRequest:
     timeout = route.timeout
     if terms.time_left is not None:
         timeout = min(timeout, terms.time_left)
-    return Forwarding(
+    return ForwardedRequest(
         terms.request_id,
         route,
         choose_service(route, terms.request_id),
--- a/quetzalcourse/transport/item_calls.py
+++ b/quetzalcourse/transport/item_calls.py
@@ -9,7 +9,7 @@
     TokenLatencyReader,
 )
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import AnswerState, AttemptTerms
+from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.upstream_calls import (
     CallLostError,
     LostState,
@@ -70,7 +70,7 @@
         """Run an item until its end, or until the attempt fails."""
         now = self._clock.elapsed()
         head = batch.head
-        terms = AttemptTerms(
+        terms = AttemptMetadata(
             upstream.name,
             head.client_account,
             batch.given_up - now,
@@ -147,24 +147,24 @@
         )
         self._pool.on_load(upstream, marks.load)
         model = batch.head.model
-        if marks.state is AnswerState.foreign:
+        if marks.state is ResponseOutcome.foreign:
             raise GarbledStreamError('foreign answer')
-        if marks.state is AnswerState.not_run:
-            self._pool.on_busy(upstream, model)
+        if marks.state is ResponseOutcome.not_run:
+            self._pool.on_model_refused(upstream, model)
             self._miss(batch, run, upstream, f'status {answer.status}')
             return None
-        if marks.state is AnswerState.impossible:
+        if marks.state is ResponseOutcome.impossible:
             return run.abandon()
-        if marks.state is AnswerState.failed:
+        if marks.state is ResponseOutcome.failed:
             return self._fail(batch, run, upstream, answer.status)
-        if marks.state is AnswerState.unfinished:
+        if marks.state is ResponseOutcome.unfinished:
             self._miss(batch, run, upstream, f'status {answer.status}')
             run.postpone(self._clock.elapsed())
             return None
         if marks.weight_version:
             self._pool.on_version(upstream, model, marks.weight_version)
         if not self._accepts(batch, run, marks.weight_version):
-            self._pool.on_busy(upstream, model)
+            self._pool.on_model_refused(upstream, model)
             self._miss(batch, run, upstream, 'old weights')
             return None
         whole = await self._read_stream(
--- a/quetzalcourse/transport/metrics.py
+++ b/quetzalcourse/transport/metrics.py
@@ -7,11 +7,11 @@
 from aioprometheus import Counter, Gauge, Registry
 from aioprometheus.formats import text
 
-from quetzalcourse.state.counters import LATENCY_BOUNDS, Counters
+from quetzalcourse.state.counters import LATENCY_BUCKET_BOUNDS, Counters
 from quetzalcourse.transport.metric_help import find_help
 
 if TYPE_CHECKING:
-    from quetzalcourse.state.counters import Distribution
+    from quetzalcourse.state.counters import Histogram
 
 PREFIX = 'quetzalcourse_'
 
@@ -45,7 +45,7 @@
 
 
 def _register_distributions(registry: Registry, counters: Counters) -> None:
-    for name, series in counters.distributions.items():
+    for name, series in counters.histograms.items():
         buckets = Counter(
             f'{PREFIX}{name}_seconds_bucket', find_help(name), registry=registry
         )
@@ -62,10 +62,10 @@
             counts.set(dict(labels), distribution.count)
 
 
-def _accumulate(distribution: Distribution) -> list[tuple[str, int]]:
+def _accumulate(distribution: Histogram) -> list[tuple[str, int]]:
     below = 0
     rows = []
-    bounds = [str(bound) for bound in LATENCY_BOUNDS] + ['+Inf']
+    bounds = [str(bound) for bound in LATENCY_BUCKET_BOUNDS] + ['+Inf']
     for bound, count in zip(bounds, distribution.buckets, strict=True):
         below += count
         rows.append((bound, below))
--- a/quetzalcourse/transport/operator_routes.py
+++ b/quetzalcourse/transport/operator_routes.py
@@ -10,7 +10,7 @@
 
 from quetzalcourse.coordination.manifest.keys import match_secret
 from quetzalcourse.exceptions import RefusedError
-from quetzalcourse.state.keys import KeyRecord, check_record
+from quetzalcourse.state.keys import KeyRecord, validate_record
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 from quetzalcourse.transport.bodies import allow_streaming, read_body
 from quetzalcourse.transport.callers import (
@@ -52,7 +52,7 @@
         self._check_operator(request)
         content = await read_body(request, self._parts.settings.limits)
         record = decode_body(content, KeyRecord)
-        fault = check_record(record)
+        fault = validate_record(record)
         if fault:
             raise RefusedError(_refuse(RefusalCode.invalid_body, fault))
         keys = self._parts.keys
--- a/quetzalcourse/transport/platform_client.py
+++ b/quetzalcourse/transport/platform_client.py
@@ -25,7 +25,7 @@
 from quetzalcourse.state.rows import FaultKind, StoreFault
 
 if TYPE_CHECKING:
-    from quetzalcourse.state.rows import Commit, Row, Transaction
+    from quetzalcourse.state.rows import TransactionResult, Row, Transaction
 
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
@@ -114,7 +114,7 @@
     async def transact(
         self,
         transaction: Transaction,
-    ) -> Result[Commit, StoreFault]:
+    ) -> Result[TransactionResult, StoreFault]:
         """Write rows of the table together."""
         answer = await self.request(
             'POST', '/table/transact', pack_transaction(transaction)
--- a/quetzalcourse/transport/scoring_calls.py
+++ b/quetzalcourse/transport/scoring_calls.py
@@ -9,7 +9,7 @@
     ScoringState,
 )
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import AnswerState, AttemptTerms
+from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.upstream_calls import (
     CallLostError,
     LostState,
@@ -55,7 +55,7 @@
         timeout: timedelta,
     ) -> ScoringOutcome:
         """Make a call once and judge its answer."""
-        terms = AttemptTerms(upstream.name, '', timeout)
+        terms = AttemptMetadata(upstream.name, '', timeout)
         try:
             async with self._calls.open(
                 upstream.member.address,
@@ -69,7 +69,7 @@
         except CallLostError as error:
             reason = error.state.value
             if error.state is LostState.late:
-                self._pool.on_late(upstream)
+                self._pool.on_timeout(upstream)
                 return ScoringOutcome(ScoringState.late, reason=reason)
             self._pool.on_failure(upstream, reason)
             if error.state is LostState.unanswered:
@@ -88,18 +88,18 @@
         )
         self._pool.on_load(upstream, marks.load)
         reason = f'status {answer.status}'
-        if marks.state is AnswerState.not_run:
-            self._pool.on_busy(upstream, '')
+        if marks.state is ResponseOutcome.not_run:
+            self._pool.on_model_refused(upstream, '')
             return ScoringOutcome(ScoringState.not_run, reason=reason)
-        if marks.state is AnswerState.foreign:
+        if marks.state is ResponseOutcome.foreign:
             self._pool.on_failure(upstream, 'foreign answer')
             return ScoringOutcome(ScoringState.lost, reason='foreign answer')
         # An answer that breaks off counts for nothing, so its body is read
         # to the end though nobody wants it.
         pieces = [piece async for piece in read_pieces(answer, timeout)]
-        if marks.state is AnswerState.failed:
+        if marks.state is ResponseOutcome.failed:
             return ScoringOutcome(ScoringState.failed, reason=reason)
-        if marks.state is not AnswerState.served:
+        if marks.state is not ResponseOutcome.served:
             return ScoringOutcome(ScoringState.lost, reason=reason)
         if not marks.stamp:
             return ScoringOutcome(ScoringState.lost, reason='no stamp')
--- a/quetzalcourse/transport/upstream_ends.py
+++ b/quetzalcourse/transport/upstream_ends.py
@@ -50,14 +50,14 @@
             upstream=upstream.name,
             peer=upstream.member.address,
         )
-        self._quarantine.on_end(
-            fingerprint, upstream.run, upstream.member.address
+        self._quarantine.on_crash(
+            fingerprint, upstream.run_id, upstream.member.address
         )
         return True
 
     async def _probe(self, upstream: Upstream) -> bool:
         """Ask an upstream once for all requests that it broke off together."""
-        run = upstream.run
+        run = upstream.run_id
         probe = self._probes.get(run)
         if probe is None:
             probe = asyncio.ensure_future(is_listening(upstream.member.address))
--- a/quetzalcourse/upstreams.py
+++ b/quetzalcourse/upstreams.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.requests.generation import Generation
-from quetzalcourse.coordination.routing.health import Health
+from quetzalcourse.coordination.routing.outlier_detection import OutlierDetector
 from quetzalcourse.coordination.requests.idempotency import Claims
-from quetzalcourse.coordination.routing.leaving import Leaving
-from quetzalcourse.coordination.routing.observer import Observer
-from quetzalcourse.coordination.routing.prefixes import PrefixHints
+from quetzalcourse.coordination.routing.drain_tracker import DrainTracker
+from quetzalcourse.coordination.routing.engine_poller import EnginePoller
+from quetzalcourse.coordination.routing.prefixes import PrefixCacheHints
 from quetzalcourse.coordination.routing.reports import EngineReports
 from quetzalcourse.coordination.requests.retries import RetryBudget
 from quetzalcourse.coordination.routing.routing import Router
@@ -35,13 +35,13 @@
 class UpstreamParts:
     """Everything between a request that is let in and its upstream."""
 
-    leaving: Leaving
-    health: Health
+    leaving: DrainTracker
+    health: OutlierDetector
     router: Router
     claims: Claims
     services: Services
     generation: Generation
-    observer: Observer
+    observer: EnginePoller
     reports: EngineReports
 
     def on_manifest(self, manifest: Manifest) -> None:
@@ -69,10 +69,10 @@
     :param table: where idempotency keys are claimed.
     """
     reports = EngineReports()
-    prefixes = PrefixHints()
-    leaving = Leaving(clock)
+    prefixes = PrefixCacheHints()
+    leaving = DrainTracker(clock)
     router = Router(data_centre, leaving, reports, prefixes)
-    health = Health(clock, counters, Random(incarnation))
+    health = OutlierDetector(clock, counters, Random(incarnation))
     budget = RetryBudget()
     generation = Generation(
         admission,
@@ -83,7 +83,7 @@
         clock,
         counters,
     )
-    observer = Observer(
+    observer = EnginePoller(
         data_centre,
         EngineControlClient(session, incarnation, REPORT_SECONDS),
         leaving,
@@ -93,7 +93,7 @@
         counters,
         admission.running,
     )
-    observer.on_departure(generation.interruptions.on_departure)
+    observer.on_drain(generation.interruptions.on_departure)
     return UpstreamParts(
         leaving,
         health,
--- a/quetzalcourse/weight_parts.py
+++ b/quetzalcourse/weight_parts.py
@@ -11,7 +11,7 @@
 from quetzalcourse.coordination.ports import Table, WeightStore
 from quetzalcourse.coordination.steps.staleness import NewestVersions
 from quetzalcourse.coordination.weights.wave_runner import WaveRunner
-from quetzalcourse.state.lease import LeaseTerms
+from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.waves import WavePlan
 from quetzalcourse.transport.engine_control import EngineControlClient
 
@@ -86,7 +86,7 @@
     data_centre = settings.data_centre
     key = name_engines_lease(data_centre)
     times = settings.lease
-    terms = LeaseTerms(
+    terms = LeaseTimings(
         timedelta(seconds=times.term_seconds),
         timedelta(seconds=times.margin_seconds),
         timedelta(seconds=times.order_timeout_seconds),
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from quetzalcourse.coordination.quarantine.records import MAX_ENDS
+from quetzalcourse.coordination.quarantine.records import MAX_CRASHES
 from quetzalcourse.standins.rollout import documents
 from quetzalcourse.standins.rollout.upstream import write_text
 
@@ -63,9 +63,9 @@
     """
     faults = []
     for path, count in later.items():
-        if count > MAX_ENDS * starts:
+        if count > MAX_CRASHES * starts:
             faults.append(f'{path}: {count} ends, {starts} starts')
-        if count > max(ends.get(path, 0), MAX_ENDS):
+        if count > max(ends.get(path, 0), MAX_CRASHES):
             faults.append(f'{path}: {count} ends, {ends.get(path, 0)} before')
     return faults
 
