--- a/bench/suites/goodput.py
+++ b/bench/suites/goodput.py
@@ -16,7 +16,7 @@
 from quetzalcourse.coordination.requests.generation_runner import (
     GenerationRunner,
 )
-from quetzalcourse.coordination.routing.health import Health
+from quetzalcourse.coordination.routing.outlier_detection import OutlierDetector
 from quetzalcourse.coordination.requests.retries import RetryBudget
 from quetzalcourse.coordination.routing.routing import Router
 from quetzalcourse.exceptions import RefusedError
@@ -57,7 +57,7 @@
 LOADS = (0.9, 1.3)
 
 
-class TrustingHealth(Health):
+class TrustingHealth(OutlierDetector):
     """Baseline: every upstream may always be tried."""
 
     def admits(self, name: str) -> bool:
@@ -153,7 +153,7 @@
         self.clock = VirtualClock()
         self.engines = Engines()
         counters = Counters()
-        kind = Health if guarded else TrustingHealth
+        kind = OutlierDetector if guarded else TrustingHealth
         health = kind(self.clock, counters, random.Random(seed))
         admission = Admission(self.clock)
         router = Router(HALLS[0])
--- a/quetzalcourse/coordination/feeds/store_calls.py
+++ b/quetzalcourse/coordination/feeds/store_calls.py
@@ -9,8 +9,8 @@
 
 from quetzalcourse.coordination.feeds.feed_relay import RowUpdate
 from quetzalcourse.state.rows import (
-    Changes,
-    Commit,
+    RowChanges,
+    TransactionResult,
     Condition,
     FaultKind,
     Row,
@@ -191,14 +191,16 @@
     )
 
 
-def decode_commit(reply: StoreReply) -> Commit:
+def decode_commit(reply: StoreReply) -> TransactionResult:
     """Read what became of a transaction."""
-    return Commit(reply.applied, tuple(reply.decode_rows()), reply.version)
+    return TransactionResult(
+        reply.applied, tuple(reply.decode_rows()), reply.version
+    )
 
 
-def decode_changes(reply: StoreReply) -> Changes:
+def decode_changes(reply: StoreReply) -> RowChanges:
     """Read changes of a table."""
-    return Changes(tuple(reply.decode_rows()), reply.version)
+    return RowChanges(tuple(reply.decode_rows()), reply.version)
 
 
 def decode_row(reply: StoreReply) -> Row | None:
--- a/quetzalcourse/coordination/manifest/store_poller.py
+++ b/quetzalcourse/coordination/manifest/store_poller.py
@@ -139,7 +139,7 @@
     def _merge_record(self, record: KeyRecord, notify: bool) -> None:
         self._key_ring.merge(record, notify=notify)
         known = self._stored.get(record.key_id)
-        self._stored[record.key_id] = known.join(record) if known else record
+        self._stored[record.key_id] = known.merge(record) if known else record
 
     def _on_fault(self, fault: StoreFault) -> None:
         if self.unreachable_since is None:
--- a/quetzalcourse/coordination/membership/member_list.py
+++ b/quetzalcourse/coordination/membership/member_list.py
@@ -9,7 +9,11 @@
 
 import xxhash
 
-from quetzalcourse.state.heartbeats import Change, Standing, describe
+from quetzalcourse.state.heartbeats import (
+    MemberUpdate,
+    MemberStatus,
+    build_update,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,7 +31,7 @@
     :param since: when its standing last changed, by the own clock.
     """
 
-    change: Change
+    change: MemberUpdate
     since: timedelta
 
 
@@ -38,7 +42,7 @@
     :param remaining: in how many more messages it goes out.
     """
 
-    change: Change
+    change: MemberUpdate
     remaining: int
 
 
@@ -51,20 +55,20 @@
         self._pending_gossip: dict[str, PendingGossip] = {}
         self._hashes: dict[str, int] | None = None
 
-    def find(self, incarnation: str) -> Change | None:
+    def find(self, incarnation: str) -> MemberUpdate | None:
         """Find the news that is held of a daemon."""
         entry = self.entries.get(incarnation)
         return entry.change if entry else None
 
-    def list_present(self) -> list[Change]:
+    def list_present(self) -> list[MemberUpdate]:
         """List the daemons that are not gone."""
         return [
             entry.change
             for entry in self.entries.values()
-            if entry.change.standing is not Standing.gone
+            if entry.change.standing is not MemberStatus.gone
         ]
 
-    def record(self, change: Change, now: timedelta) -> None:
+    def record(self, change: MemberUpdate, now: timedelta) -> None:
         """Hold news as it is, and pass it on."""
         self.entries[change.incarnation] = Entry(change, now)
         count = len(self.entries)
@@ -74,7 +78,7 @@
         )
         self._hashes = None
 
-    def merge(self, change: Change, now: timedelta) -> bool:
+    def merge(self, change: MemberUpdate, now: timedelta) -> bool:
         """Take news in if it says more than what is held.
 
         Others may have lost a daemon that is well heard here, as after a
@@ -84,23 +88,23 @@
         :returns: whether anything changed.
         """
         entry = self.entries.get(change.incarnation)
-        gone = change.standing is Standing.gone
+        gone = change.standing is MemberStatus.gone
         if entry is None:
             if not gone:
                 self.record(change, now)
             return not gone
         held = entry.change
-        if not change.beats(held):
+        if not change.supersedes(held):
             return False
-        if gone and held.standing is Standing.alive and not change.leaving:
-            change = describe(
-                change.read_member(), change.counter, Standing.suspect
+        if gone and held.standing is MemberStatus.alive and not change.leaving:
+            change = build_update(
+                change.to_member(), change.counter, MemberStatus.suspect
             )
         self.record(change, now)
         return True
 
     def escalate(
-        self, member: Member, standing: Standing, now: timedelta
+        self, member: Member, standing: MemberStatus, now: timedelta
     ) -> bool:
         """Change the standing of a daemon on own evidence.
 
@@ -109,7 +113,7 @@
         held = self.find(member.incarnation)
         if held is None or held.standing >= standing:
             return False
-        self.record(describe(held.read_member(), held.counter, standing), now)
+        self.record(build_update(held.to_member(), held.counter, standing), now)
         return True
 
     def expire(self, suspicion: timedelta, now: timedelta) -> bool:
@@ -121,10 +125,10 @@
         for incarnation, entry in tuple(self.entries.items()):
             age = now - entry.since
             standing = entry.change.standing
-            if standing is Standing.suspect and age >= suspicion:
-                member = entry.change.read_member()
-                changed = self.escalate(member, Standing.gone, now) or changed
-            elif standing is Standing.gone and age >= GONE_RETENTION:
+            if standing is MemberStatus.suspect and age >= suspicion:
+                member = entry.change.to_member()
+                changed = self.escalate(member, MemberStatus.gone, now) or changed
+            elif standing is MemberStatus.gone and age >= GONE_RETENTION:
                 self.entries.pop(incarnation)
         return changed
 
@@ -133,7 +137,7 @@
         for entry in self.entries.values():
             entry.since += pause
 
-    def take_gossip(self, count: int) -> list[Change]:
+    def take_gossip(self, count: int) -> list[MemberUpdate]:
         """Choose the news that was passed on least."""
         chosen = sorted(
             self._pending_gossip.values(),
@@ -158,7 +162,7 @@
             whole ^= part
         return whole
 
-    def list_different(self, hashes: dict[str, int]) -> list[Change]:
+    def list_different(self, hashes: dict[str, int]) -> list[MemberUpdate]:
         """List the news of the data centres whose hash is another one."""
         own = self.hash_data_centres()
         return [
@@ -169,7 +173,7 @@
         ]
 
 
-def _hash_data_centres(changes: Iterable[Change]) -> dict[str, int]:
+def _hash_data_centres(changes: Iterable[MemberUpdate]) -> dict[str, int]:
     hashes: dict[str, int] = {}
     for change in changes:
         text = f'{change.incarnation} {change.counter} {change.leaving}'
--- a/quetzalcourse/coordination/membership/membership.py
+++ b/quetzalcourse/coordination/membership/membership.py
@@ -12,11 +12,11 @@
 from quetzalcourse.coordination.membership.member_list import MemberList
 from quetzalcourse.log import get_log
 from quetzalcourse.state.heartbeats import (
-    Change,
+    MemberUpdate,
     Heartbeat,
     HeartbeatKind,
-    Standing,
-    describe,
+    MemberStatus,
+    build_update,
 )
 from quetzalcourse.state.members import Member, Topic
 
@@ -136,9 +136,9 @@
         leaving = set(addresses)
         for change in self._member_list.list_present():
             if change.address in leaving and not change.leaving:
-                member = replace(change.read_member(), leaving=True)
+                member = replace(change.to_member(), leaving=True)
                 self._merge_change(
-                    describe(member, change.counter + 1, change.standing),
+                    build_update(member, change.counter + 1, change.standing),
                     self._clock.elapsed(),
                 )
         self._refresh_live()
@@ -155,7 +155,7 @@
     def announce_gone(self) -> None:
         """Tell some daemons that this one ends now."""
         self._counter += 1
-        change = describe(self.own, self._counter, Standing.gone)
+        change = build_update(self.own, self._counter, MemberStatus.gone)
         others = [peer for peer in self._live if peer != self.own]
         for peer in self._sample(others, INDIRECT_PROBES):
             self._send(peer, HeartbeatKind.answer, changes=[change])
@@ -191,7 +191,7 @@
             for relay in self._sample(relays, INDIRECT_PROBES):
                 self._send(relay, HeartbeatKind.relay, subject=overdue.address)
         for failed in self._probes.take_failed(now):
-            if self._member_list.escalate(failed, Standing.suspect, now):
+            if self._member_list.escalate(failed, MemberStatus.suspect, now):
                 self._counters.add('suspicions')
                 self._ping(failed, now)
         if self._member_list.expire(self._timings.suspicion_timeout, now):
@@ -230,7 +230,7 @@
         suspicions = self._list_suspicions(target)
         self._send(target, HeartbeatKind.ping, changes=suspicions)
 
-    def _list_suspicions(self, member: Member) -> list[Change]:
+    def _list_suspicions(self, member: Member) -> list[MemberUpdate]:
         """List what a daemon has to refute if it hears this."""
         held = self._member_list.find(member.incarnation)
         return [held] if held is not None and held.standing else []
@@ -266,10 +266,10 @@
                 requester, HeartbeatKind.answer, subject=sender.incarnation
             )
         changed = self._member_list.merge(
-            describe(sender, counter, Standing.alive), now
+            build_update(sender, counter, MemberStatus.alive), now
         )
         held = self._member_list.find(sender.incarnation)
-        if held is not None and held.standing is not Standing.gone:
+        if held is not None and held.standing is not MemberStatus.gone:
             changed = self._evict_replaced(sender, now) or changed
         return changed
 
@@ -278,16 +278,16 @@
         # before a VM's replacement would count as live until probes failed,
         # and they don't fail while its successor answers.
         replaced = [
-            change.read_member()
+            change.to_member()
             for change in self._member_list.list_present()
             if change.address == sender.address
             and change.incarnation != sender.incarnation
         ]
         for member in replaced:
-            self._member_list.escalate(member, Standing.gone, now)
+            self._member_list.escalate(member, MemberStatus.gone, now)
         return bool(replaced)
 
-    def _merge_change(self, change: Change, now: timedelta) -> bool:
+    def _merge_change(self, change: MemberUpdate, now: timedelta) -> bool:
         if change.incarnation == self.own.incarnation:
             self._refute(change)
             return False
@@ -295,7 +295,7 @@
             return False
         return self._member_list.merge(change, now)
 
-    def _refute(self, change: Change) -> None:
+    def _refute(self, change: MemberUpdate) -> None:
         if change.counter < self._counter:
             return
         asked_to_leave = change.leaving and not self.own.leaving
@@ -351,7 +351,7 @@
         self,
         receiver: Member,
         kind: HeartbeatKind,
-        changes: list[Change] | None = None,
+        changes: list[MemberUpdate] | None = None,
         subject: str = '',
         hashes: dict[str, int] | None = None,
     ) -> None:
@@ -379,14 +379,14 @@
         for listener in self._own_listeners:
             listener(own)
         self._counter += 1
-        change = describe(own, self._counter, Standing.alive)
+        change = build_update(own, self._counter, MemberStatus.alive)
         self._member_list.record(change, self._clock.elapsed())
         self._refresh_live()
 
     def _refresh_live(self) -> None:
         present = self._member_list.list_present()
         live = sorted(
-            (change.read_member() for change in present),
+            (change.to_member() for change in present),
             key=lambda member: member.incarnation,
         )
         if live == self._live:
--- a/quetzalcourse/coordination/slots/slot_owner.py
+++ b/quetzalcourse/coordination/slots/slot_owner.py
@@ -23,7 +23,7 @@
 
     from quetzalcourse.coordination.slots.fair_share import AccountDemand
     from quetzalcourse.state.manifest import Upstream
-    from quetzalcourse.state.slots import Allowance, SlotReport, SlotTerms
+    from quetzalcourse.state.slots import Allowance, SlotReport, SlotTimings
 
 OBSERVATION_WEIGHT = 0.5
 LOAD_LAG = timedelta(seconds=3)
@@ -85,7 +85,7 @@
     def __init__(
         self,
         upstream: Upstream,
-        terms: SlotTerms,
+        terms: SlotTimings,
         settles: timedelta,
         fallback: Mapping[str, int],
     ) -> None:
--- a/quetzalcourse/coordination/steps/step_registry.py
+++ b/quetzalcourse/coordination/steps/step_registry.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from quetzalcourse.coordination.ports import ObjectStore, Table
     from quetzalcourse.state.refusal import Refusal
-    from quetzalcourse.state.rows import Commit, StoreFault
+    from quetzalcourse.state.rows import TransactionResult, StoreFault
 
 MAX_CACHED_STEPS = 1024
 
@@ -84,7 +84,9 @@
             return None
         return msgspec.json.decode(answer.ok_value, type=tuple[str, ...])
 
-    async def insert(self, spec: StepSpec) -> Result[Commit, StoreFault]:
+    async def insert(
+        self, spec: StepSpec
+    ) -> Result[TransactionResult, StoreFault]:
         """Write the rows of a step, if there is none of its number."""
         trainer, step = spec.trainer, spec.step
         key = build_step_key(trainer, step)
--- a/quetzalcourse/coordination/usage/usage_replication.py
+++ b/quetzalcourse/coordination/usage/usage_replication.py
@@ -11,10 +11,10 @@
 from quetzalcourse.log import get_log
 from quetzalcourse.state.members import Topic
 from quetzalcourse.state.usage import (
-    Entries,
+    UsageByKey,
     UsageRow,
     index_entries,
-    join_entries,
+    merge_entries,
     list_entries,
     name_window,
 )
@@ -82,7 +82,7 @@
         self._counters = counters
         self._interval = interval
         self._rounds_until_full = 0
-        self._copies: dict[tuple[str, str], Entries] = {}
+        self._copies: dict[tuple[str, str], UsageByKey] = {}
         peers.subscribe(Topic.usage, self._receive)
         members.on_change(self._on_members_changed)
 
@@ -171,6 +171,6 @@
             log.warning('Usage message dropped.', peer=sender.incarnation)
             return
         copy_key = (sender.incarnation, row.window)
-        self._copies[copy_key] = join_entries(
+        self._copies[copy_key] = merge_entries(
             self._copies.get(copy_key, {}), index_entries(row.entries)
         )
