--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -82,7 +82,10 @@
         )
         written = await self._table.transact(
             Transaction(
-                (self._lease.fence_condition(), require_unchanged(SPENDING_KEY, row)),
+                (
+                    self._lease.fence_condition(),
+                    require_unchanged(SPENDING_KEY, row),
+                ),
                 (Write(SPENDING_KEY, msgspec.json.encode(after)),),
             )
         )
--- a/quetzalcourse/coordination/membership/member_list.py
+++ b/quetzalcourse/coordination/membership/member_list.py
@@ -127,7 +127,9 @@
             standing = entry.change.standing
             if standing is MemberStatus.suspect and age >= suspicion:
                 member = entry.change.to_member()
-                changed = self.escalate(member, MemberStatus.gone, now) or changed
+                changed = (
+                    self.escalate(member, MemberStatus.gone, now) or changed
+                )
             elif standing is MemberStatus.gone and age >= GONE_RETENTION:
                 self.entries.pop(incarnation)
         return changed
