--- a/quetzalcourse/coordination/steps/__init__.py
+++ b/quetzalcourse/coordination/steps/__init__.py
@@ -1,1 +1,1 @@
-"""Training steps: each sample once, with its weights, on time."""
+"""Training steps: exactly-once, version-labelled delivery on time."""
--- a/quetzalcourse/coordination/steps/delivery_metrics.py
+++ b/quetzalcourse/coordination/steps/delivery_metrics.py
@@ -1,4 +1,4 @@
-"""Counts of what trainers were given: on time, and how stale."""
+"""Metrics of deliveries to trainers: timeliness and staleness."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryMetrics:
-    """Counts samples when they are first delivered.
+    """Counts each sample once, when it is first delivered.
 
-    :param levels: counts against the manifest's service levels.
+    :param levels: service levels of the manifest to count against.
     """
 
     clock: Clock
@@ -42,10 +42,12 @@
         after: DeliveryRecord,
         batches: Iterable[DeliveredBatch],
     ) -> None:
-        """Count what was delivered for the first time.
+        """Count the samples that were delivered for the first time.
 
-        :param before: record of the delivery before this reading.
-        :param batches: batches that were read, earlier ones included.
+        :param before: delivery record before this read.
+        :param after: delivery record after this read.
+        :param batches: batches that were read, including those that were
+            delivered before.
         """
         for batch in batches:
             if batch.position >= before.sealed:
--- a/quetzalcourse/coordination/steps/delivery_rules.py
+++ b/quetzalcourse/coordination/steps/delivery_rules.py
@@ -1,4 +1,4 @@
-"""What a trainer gets of a batch, and which cursors it may name."""
+"""Rules for the samples that are delivered and the cursors allowed."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     oldest_allowed: int,
     total: int,
 ) -> DeliveryRecord:
-    """Decide what the trainer gets of a batch.
+    """Decide which samples of a batch are delivered.
 
-    :param oldest_allowed: samples with older tokens are dropped.
-    :param total: samples that make the step whole.
+    :param oldest_allowed: weight version below which samples are dropped.
+    :param total: number of delivered samples that completes the step.
     """
     dropped = tuple(
         DroppedSample(batch.position, sample.group, sample.index)
@@ -44,7 +44,7 @@
 
 
 def omit_dropped(batch: StepBatch, record: DeliveryRecord) -> DeliveredBatch:
-    """Leave out what was dropped from a batch."""
+    """Return a batch without its dropped samples."""
     dropped = {
         sample.key
         for sample in record.dropped
@@ -58,7 +58,7 @@
 
 
 def check_cursor(record: DeliveryRecord, cursor: int) -> Refusal | None:
-    """Refuse a cursor that was never given out, or is acknowledged."""
+    """Refuse a cursor that was never issued or is already acknowledged."""
     if record.cancelled:
         return refuse_cancelled()
     if cursor > record.sealed:
@@ -75,17 +75,17 @@
 
 
 def refuse_unread_cursor(cursor: int, sealed: int) -> Refusal:
-    """Refuse a cursor that would skip batches which were never read."""
+    """Refuse a cursor that would skip batches that were never read."""
     return Refusal(
         RefusalCode.invalid_body,
-        f'Cursor {cursor} lies beyond {sealed}, the last one given out.',
+        f'Cursor {cursor} is beyond {sealed}, the last cursor issued.',
         not_run=True,
         step='read cursor',
     )
 
 
 def refuse_cancelled() -> Refusal:
-    """Refuse whatever is asked of a step that was given up."""
+    """Refuse any request for a cancelled step."""
     return Refusal(
         RefusalCode.cancelled,
         'The step was cancelled.',
--- a/quetzalcourse/coordination/steps/dispatch_order.py
+++ b/quetzalcourse/coordination/steps/dispatch_order.py
@@ -1,4 +1,4 @@
-"""Order of dispatch: samples that should take longest begin first."""
+"""Dispatch order: samples that are expected to take longest go first."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 
 
 class LengthEstimator:
-    """Lengths of samples, learnt for each trainer and prompt.
+    """Estimates the lengths of samples by trainer and prompt.
 
-    Bounded: the prompts that were seen least lately are forgotten.
+    Keeps a moving average of the finished samples. The number of prompts is
+    bounded; the least recently seen ones are evicted.
     """
 
     def __init__(self) -> None:
-        """Begin without a length."""
+        """Start without observations."""
         self._by_prompt: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._by_trainer: dict[str, float] = {}
 
     def observe(self, trainer: str, prompt: str, tokens: int) -> None:
-        """Learn from a finished sample.
+        """Update the averages with a finished sample.
 
         :param prompt: hash of the prompt.
-        :param tokens: length of the sample.
+        :param tokens: length of the sample in tokens.
         """
         key = (trainer, prompt)
         self._by_prompt[key] = _update_average(self._by_prompt.get(key), tokens)
@@ -39,10 +40,12 @@
         )
 
     def estimate(self, trainer: str, prompt: str) -> float:
-        """Tell how many tokens a sample should have.
+        """Estimate the length of a sample in tokens.
 
-        A prompt that was never seen counts as longer than most, so that it
-        begins early and its length is known while others still wait.
+        A prompt that was never seen is estimated longer than most, so that
+        it starts early and its length is known while others still wait.
+
+        :param prompt: hash of the prompt.
         """
         average = self._by_prompt.get((trainer, prompt))
         if average is not None:
@@ -51,9 +54,10 @@
 
 
 class Backlog:
-    """Samples of a step that were not begun.
+    """Samples of a step that have not started.
 
-    :param trainer: whose lengths to expect.
+    :param lengths: estimates that determine the order.
+    :param trainer: trainer whose estimates apply.
     :param prompts: hash of the prompt of each group.
     """
 
@@ -63,7 +67,7 @@
         trainer: str,
         prompts: tuple[str, ...],
     ) -> None:
-        """Begin empty."""
+        """Start empty."""
         self._lengths = lengths
         self._trainer = trainer
         self._prompts = prompts
@@ -71,11 +75,11 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """Count the samples."""
+        """Return the number of samples."""
         return self._count
 
     def add(self, keys: Iterable[SampleKey]) -> None:
-        """Put samples in."""
+        """Add samples."""
         for key in keys:
             indices = self._groups.setdefault(key.group, [])
             indices.append(key.index)
@@ -83,10 +87,10 @@
             self._count += 1
 
     def pop(self) -> SampleKey:
-        """Take out the sample that should take longest.
+        """Remove and return the sample that is expected to take longest.
 
-        Groups of equal expectation take turns, so that each group's length
-        is learnt early.
+        Groups with equal estimates alternate, so that the length of each
+        group is learnt early.
         """
         group = max(self._groups, key=self._rank)
         indices = self._groups[group]
--- a/quetzalcourse/coordination/steps/dispatcher.py
+++ b/quetzalcourse/coordination/steps/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch: keeps the samples of one step in the making, within bounds."""
+"""Dispatcher: generates the samples of a step with bounded concurrency."""
 
 from __future__ import annotations
 
@@ -43,38 +43,38 @@
 
 
 class SampleSink(Protocol):
-    """Takes finished samples, within bounded memory."""
+    """Accepts finished samples, within bounded memory."""
 
     @property
     def has_capacity(self) -> bool:
         """Whether more finished samples fit into memory."""
 
     def accept(self, sample: Sample) -> None:
-        """Take a finished sample."""
+        """Accept a finished sample."""
 
 
 @dataclass(slots=True)
 class ConcurrencyBudget:
-    """Samples in the making on this daemon, shared by its steps.
+    """Limit on concurrent samples of this daemon, shared by its steps.
 
-    :param steps: steps that run here.
+    :param steps: number of steps that run on this daemon.
     """
 
     steps: int = 0
 
     @property
     def limit_per_step(self) -> int:
-        """How many samples one step may have in the making."""
+        """Maximum number of concurrent samples of one step."""
         return MAX_CONCURRENT_SAMPLES // max(1, self.steps)
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchParts:
-    """What dispatch needs of the rest of the daemon.
+    """Dependencies of a dispatcher.
 
-    :param lengths: lengths learnt from every step that ran here.
-    :param budget: shared by the steps that run here.
-    :param plan: chooses the stragglers to help.
+    :param lengths: estimates learnt from all steps that ran on this daemon.
+    :param budget: shared by all steps that run on this daemon.
+    :param plan: chooses the stragglers to move or copy.
     """
 
     generation: Generator
@@ -87,10 +87,10 @@
 
 
 class Dispatcher:
-    """Makes the samples of one step.
+    """Generates the samples of one step.
 
-    :param deadline: time since boot by which the step should be whole.
-    :param run: name of the run, made part of request ids.
+    :param deadline: time since boot by which the step should be complete.
+    :param run: name of the run, which becomes part of request ids.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         deadline: timedelta,
         run: str,
     ) -> None:
-        """Begin with nothing to make."""
+        """Start with an empty backlog."""
         self.attempts: Counter[SampleKey] = Counter()
         self._parts = parts
         self._spec = spec
@@ -125,28 +125,28 @@
         )
 
     def attach_sink(self, sink: SampleSink) -> None:
-        """Hand finished samples to a sink, and heed its bounds."""
+        """Set the sink of finished samples, whose capacity limits dispatch."""
         self._sink = sink
 
     def add(self, keys: Iterable[SampleKey]) -> None:
-        """Put samples into the backlog."""
+        """Add samples to the backlog."""
         self._backlog.add(keys)
         self._changed.set()
 
     def regenerate(self, keys: Iterable[SampleKey]) -> None:
-        """Make samples again that were made for nothing."""
+        """Generate samples again whose earlier result was discarded."""
         wanted = list(keys)
         self.attempts.update(wanted)
         self.add(wanted)
 
     @property
     def backlog(self) -> int:
-        """Count the samples that were not begun."""
+        """Number of samples that have not started."""
         return len(self._backlog)
 
     @property
     def pending(self) -> int:
-        """Count the samples that are not finished."""
+        """Number of samples that are not finished."""
         return len(self._backlog) + len(self._producers)
 
     def count_waiting(self) -> int:
@@ -154,7 +154,7 @@
         return sum(producer.waiting for producer in self._producers.values())
 
     def count_held_up(self) -> Counter[str]:
-        """Count the samples that nothing runs for, by reason."""
+        """Count the samples without a running stream, by reason."""
         return Counter(
             producer.held_up
             for producer in self._producers.values()
@@ -162,15 +162,15 @@
         )
 
     def count_running(self) -> int:
-        """Count the samples whose tokens arrive."""
+        """Count the samples that are receiving tokens."""
         held_up = self.count_held_up().total()
         return len(self._producers) - self.count_waiting() - held_up
 
     async def dispatch(self) -> None:
-        """Begin samples for as long as the step runs.
+        """Start samples for as long as the step runs.
 
-        :raises Exception: what a sample's making failed with; it would
-            otherwise be missing for ever without a trace.
+        :raises Exception: the error of a sample that failed; the sample
+            would otherwise stay missing without a trace.
         """
         while True:
             while self._may_start():
@@ -183,7 +183,7 @@
                 raise self._failure
 
     async def mitigate_stragglers(self) -> None:
-        """Help stragglers for as long as the step runs."""
+        """Move or copy stragglers for as long as the step runs."""
         while True:
             await self._parts.clock.sleep(MITIGATION_INTERVAL)
             self._changed.set()
@@ -191,15 +191,15 @@
                 await self._mitigate_once()
 
     async def stop(self) -> None:
-        """End every stream."""
+        """Cancel every stream."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _may_start(self) -> bool:
-        # Requests beyond what engines take would only wait, in an order
-        # that can no longer be changed, each with its share of memory.
+        # Requests beyond the capacity of the engines would only queue, in an
+        # order that can no longer be changed, and each uses memory.
         if not self._backlog or not (self._sink and self._sink.has_capacity):
             return False
         if len(self._producers) >= self._parts.budget.limit_per_step:
@@ -262,5 +262,5 @@
 
 
 def hash_prompt(prompt: str) -> str:
-    """Name a prompt for the memory of lengths."""
+    """Return the key of a prompt in the length estimates."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:HASH_LENGTH]
--- a/quetzalcourse/coordination/steps/fenced_writer.py
+++ b/quetzalcourse/coordination/steps/fenced_writer.py
@@ -1,4 +1,4 @@
-"""Rows that only the holder of a lease writes, each of them once."""
+"""Fenced writer: only the lease holder inserts rows, each row once."""
 
 from __future__ import annotations
 
@@ -19,13 +19,12 @@
 
 
 class FencedWriter:
-    """Writes rows under a lease, whatever becomes of the answers.
+    """Inserts rows under a lease, even if answers of the store are lost.
 
-    :param lease: the lease that every write requires.
+    :param lease: lease that every write requires.
     """
 
     def __init__(self, table: Table, lease: StepLease, clock: Clock) -> None:
-        """Keep the parts that a write needs."""
         self._table = table
         self._lease = lease
         self._clock = clock
@@ -36,10 +35,10 @@
         content: bytes,
         *extra_writes: Write,
     ) -> None:
-        """Write a row that is absent, however long the store takes.
+        """Insert a row, retrying until the store confirms it.
 
-        :param extra_writes: writes of the same transaction.
-        :raises StepLostError: if another holder took over.
+        :param extra_writes: further writes of the same transaction.
+        :raises StepLeaseLostError: if another daemon took over the lease.
         """
         while not await self.try_insert(key, content, *extra_writes):
             if await self._confirm_insert(key, content):
@@ -52,9 +51,9 @@
         content: bytes,
         *extra_writes: Write,
     ) -> bool:
-        """Write a row that is absent, once.
+        """Try once to insert a row.
 
-        :returns: whether it is known to be written.
+        :returns: whether the store confirmed the insert.
         """
         answer = await self._table.transact(
             Transaction(
@@ -66,8 +65,8 @@
 
     async def _confirm_insert(self, key: str, content: bytes) -> bool:
         # The answer may have been lost after the write took effect. Without
-        # reading back, the samples would be written once more at the next
-        # position, and the trainer would get them twice.
+        # reading back, the samples would be written again at the next
+        # position and the trainer would receive them twice.
         answer = await self._table.read(key)
         if isinstance(answer, Err):
             return False
--- a/quetzalcourse/coordination/steps/sample_pipeline.py
+++ b/quetzalcourse/coordination/steps/sample_pipeline.py
@@ -1,4 +1,4 @@
-"""What happens to finished samples: they are scored and committed."""
+"""Sample pipeline: scores and commits finished samples."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class SamplePipeline:
-    """Holds a step's finished samples until they are committed.
+    """Buffers the finished samples of a step until they are committed.
 
-    :param dispatcher: makes samples again that can't be delivered.
-    :param report: says how far the run is.
+    :param dispatcher: regenerates samples that can't be delivered.
+    :param report: returns the progress of the run.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         dispatcher: Dispatcher,
         report: Callable[[], RunReport],
     ) -> None:
-        """Begin empty."""
+        """Start empty."""
         self.last_commit_at = parts.clock.elapsed()
         self._parts = parts
         self._clock = parts.clock
@@ -69,12 +69,12 @@
 
     @property
     def unscored(self) -> int:
-        """Count the samples that wait for a score."""
+        """Number of samples that wait for a score."""
         return len(self._unscored)
 
     @property
     def uncommitted(self) -> int:
-        """Count the samples that only need to be committed."""
+        """Number of samples that are ready but not committed."""
         return self._commit_queue.qsize() + len(self._committing)
 
     @property
@@ -83,7 +83,7 @@
         return self._buffered_characters < MAX_BUFFERED_CHARACTERS
 
     def accept(self, sample: Sample) -> None:
-        """Take a finished sample."""
+        """Accept a finished sample."""
         self._buffered_characters += len(sample.text)
         if self._spec.scored:
             self._unscored.add(sample.key)
@@ -94,7 +94,7 @@
     async def score(self) -> None:
         """Score samples for as long as the step runs.
 
-        :raises StepLostError: if another daemon took the step over.
+        :raises StepLeaseLostError: if another daemon took over the step.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -109,7 +109,7 @@
     async def commit(self) -> None:
         """Commit samples for as long as the step runs.
 
-        :raises StepLostError: if another daemon took the step over.
+        :raises StepLeaseLostError: if another daemon took over the step.
         """
         while True:
             await self._collect_batch(self._commit_queue, self._committing)
@@ -122,10 +122,10 @@
             self._committing = []
 
     async def stop(self) -> None:
-        """End the scorings, and try once to commit what is ready.
+        """Cancel scoring, and try once to commit the samples that are ready.
 
-        A daemon that leaves would otherwise have its last samples made
-        again elsewhere.
+        Otherwise the last samples of a daemon that leaves would have to be
+        generated again elsewhere.
         """
         tasks = tuple(self._scoring_tasks)
         for task in tasks:
@@ -189,7 +189,7 @@
 
 
 def is_full(batch: list[Sample]) -> bool:
-    """Tell whether a batch is large enough to be committed."""
+    """Return whether a batch is large enough to be committed."""
     if len(batch) >= MAX_BATCH_SAMPLES:
         return True
     return sum(len(sample.text) for sample in batch) >= MAX_BATCH_CHARACTERS
--- a/quetzalcourse/coordination/steps/sample_producer.py
+++ b/quetzalcourse/coordination/steps/sample_producer.py
@@ -1,4 +1,4 @@
-"""Making one sample: streams are resumed, moved, copied and begun again."""
+"""Sample producer: resumes, moves, copies and restarts token streams."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProducerParts:
-    """What making a sample needs.
+    """Dependencies of a sample producer.
 
-    :param on_first_token: called when a sample's first token comes.
+    :param on_first_token: called when the first token of a sample arrives.
     """
 
     generation: Generator
@@ -63,9 +63,9 @@
 
 @dataclass(slots=True)
 class SampleProducer:
-    """One sample until it is whole, labelled and new enough.
+    """Generates one sample until it is complete, labelled and recent enough.
 
-    :param held_up: reason why nothing runs for it at this moment.
+    :param held_up: reason why no stream runs at the moment, if any.
     """
 
     sample_spec: SampleSpec
@@ -82,13 +82,13 @@
 
     @property
     def waiting(self) -> bool:
-        """Whether no token came yet and nothing holds the sample up."""
+        """Whether the sample waits for an engine to send the first token."""
         return not self._has_tokens and not self.held_up
 
     async def produce(self) -> Sample:
-        """Make the sample, however often it has to be begun again.
+        """Generate the sample, restarting it as often as necessary.
 
-        :raises Exception: what a stream met that nobody expected.
+        :raises Exception: an unexpected error of a stream.
         """
         self._start(SampleStream([], (), frozenset()))
         try:
@@ -102,7 +102,7 @@
             await self._stop(tuple(self.streams))
 
     def snapshot(self) -> RunningSample | None:
-        """Describe the sample if it has one stream, which has tokens."""
+        """Describe the sample if it has exactly one stream, with tokens."""
         if len(self.streams) != 1:
             return None
         stream = self.streams[0]
@@ -117,9 +117,9 @@
         )
 
     async def mitigate(self, kind: MitigationKind) -> None:
-        """Go on elsewhere behind the last token.
+        """Continue on another engine after the last token.
 
-        :param kind: whether the stream that lags ends or runs on.
+        :param kind: whether the lagging stream is stopped or kept running.
         """
         if len(self.streams) != 1:
             return
@@ -176,8 +176,8 @@
             self._count_wasted(stream)
             successor = SampleStream([], (), successor.avoid)
         if stream.problem != TOO_OLD:
-            # An engine that answers but names no version would otherwise be
-            # asked again without end, at full speed.
+            # Without a delay, an engine that answers but names no version
+            # would be asked again endlessly at full speed.
             self.held_up = stream.problem
             await self.parts.clock.sleep(stream.retry_after or self._backoff)
             self._backoff = min(self._backoff * 2, MAX_BACKOFF)
@@ -213,8 +213,8 @@
         if not self._has_tokens:
             self._has_tokens = True
             self.parts.on_first_token()
-        # Tokens behind an unnamed or too old one can't be delivered either;
-        # going on would hold a slot for nothing.
+        # Tokens after one whose version is missing or too old can't be
+        # delivered either; continuing would occupy a slot in vain.
         problem = self._find_problem(stream)
         if problem:
             raise UndeliverableError(problem)
--- a/quetzalcourse/coordination/steps/sample_stream.py
+++ b/quetzalcourse/coordination/steps/sample_stream.py
@@ -1,4 +1,4 @@
-"""One stream of a sample's tokens, and what it is a part of."""
+"""Token stream of a sample, and the specification of the sample."""
 
 from __future__ import annotations
 
@@ -22,25 +22,24 @@
 
 
 class UndeliverableError(QuetzalcourseError):
-    """Tokens that must not be delivered.
+    """Raised for tokens that must not be delivered.
 
-    :param reason: why, as it is counted.
+    :param reason: label of the reason in metrics.
     """
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason."""
         super().__init__(reason)
         self.reason = reason
 
 
 @dataclass(frozen=True, slots=True)
 class SampleSpec:
-    """Sample to make.
+    """Specification of a sample to generate.
 
-    :param attempt: how often it was made for nothing; changes the seed
-        where its text must differ.
-    :param deadline: time since boot by which it should be there.
-    :param run: makes request ids different from those of other runs.
+    :param attempt: number of discarded attempts; it changes the seed where
+        the text must differ.
+    :param deadline: time since boot by which the sample should be finished.
+    :param run: distinguishes request ids from those of other runs.
     """
 
     step_spec: StepSpec
@@ -52,21 +51,22 @@
 
     @property
     def name(self) -> str:
-        """Name the sample among all trainers' samples."""
+        """Name of the sample, unique across all trainers."""
         spec = self.step_spec
         return f'{spec.trainer}/{spec.step}/{self.key.group}/{self.key.index}'
 
 
 @dataclass(slots=True)
 class SampleStream:
-    """One run of the sample's request.
-
-    :param tokens: tokens so far, those handed over included.
-    :param versions: weight versions that made them.
-    :param avoid: names of engines to keep off.
-    :param upstream: name of the engine that the last token came from.
-    :param first_token_at: when its own first token came.
-    :param last_token_at: when its last token came.
+    """One generation request of a sample, and what it has received.
+
+    :param tokens: tokens so far, including the inherited ones.
+    :param versions: weight versions that generated the tokens.
+    :param avoid: names of engines to avoid.
+    :param inherited_tokens: number of tokens from an earlier stream.
+    :param upstream: name of the engine that sent the last token.
+    :param first_token_at: time since boot of the first token of its own.
+    :param last_token_at: time since boot of the last token.
     """
 
     tokens: list[str]
@@ -83,7 +83,7 @@
     task: asyncio.Task[None] | None = None
 
     def extend(self, chunk: Chunk, now: timedelta) -> None:
-        """Take the next chunk.
+        """Append the next chunk.
 
         :param now: time since boot.
         """
@@ -95,14 +95,14 @@
         self.finish_reason = chunk.finish_reason
 
     def fork(self) -> SampleStream:
-        """Begin a stream elsewhere behind the last token of this one."""
+        """Create a stream that continues elsewhere after the last token."""
         avoid = frozenset((self.upstream,)) if self.upstream else frozenset()
         tokens = list(self.tokens)
         return SampleStream(tokens, self.versions, avoid, len(tokens))
 
 
 def build_sample(key: SampleKey, stream: SampleStream) -> Sample:
-    """Make a sample of a stream that ended as it should."""
+    """Build the sample of a stream that ended normally."""
     return Sample(
         group=key.group,
         index=key.index,
--- a/quetzalcourse/coordination/steps/scoring.py
+++ b/quetzalcourse/coordination/steps/scoring.py
@@ -38,10 +38,10 @@
 class StepScoring:
     """Scores the samples of one step.
 
-    A call that may not be repeated is claimed in the table first. A holder
-    that finds a claim without a committed sample can't know whether the
-    call was made, and makes the sample again with another seed, so that
-    the call for the old text is never sent a second time.
+    A call that may not be repeated is claimed in the table first. A lease
+    holder that finds a claim without a committed sample can't know whether
+    the call was made. It generates the sample again with another seed, so
+    that the call for the old text is never sent a second time.
 
     :param writer: writes under the lease on the step.
     """
@@ -55,7 +55,7 @@
         counters: Counters,
         spec: StepSpec,
     ) -> None:
-        """Begin with no claim loaded."""
+        """Start without loaded claims."""
         self.claims: Counter[SampleKey] = Counter()
         self._table = table
         self._writer = writer
@@ -67,7 +67,7 @@
         self._call_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def load(self) -> Result[None, StoreFault]:
-        """Read the claims of earlier holders."""
+        """Load the claims of earlier lease holders."""
         if self._spec.scoring_repeatable:
             return Ok(None)
         prefix = build_claims_prefix(self._spec.trainer, self._spec.step)
@@ -80,9 +80,9 @@
         return Ok(None)
 
     async def claim(self, samples: Sequence[Sample]) -> None:
-        """Write down that these samples are about to be scored.
+        """Record that these samples are about to be scored.
 
-        :raises StepLostError: if another holder took over.
+        :raises StepLeaseLostError: if another daemon took over the lease.
         """
         if self._spec.scoring_repeatable:
             return
@@ -95,10 +95,10 @@
         self.claims.update(keys)
 
     async def score(self, sample: Sample, attempt: int) -> Sample | None:
-        """Score a sample, however long the service is down.
+        """Score a sample, retrying for as long as the service is down.
 
-        :param attempt: how often the sample was made before.
-        :returns: the sample with its score, or ``None`` if its call may
+        :param attempt: number of earlier attempts at the sample.
+        :returns: the sample with its score, or ``None`` if the call may
             have been made and may not be repeated.
         """
         name = self._build_call_name(sample, attempt)
@@ -116,8 +116,9 @@
             backoff = min(backoff * 2, MAX_BACKOFF)
 
     def _build_call_name(self, sample: Sample, attempt: int) -> str:
-        # The text is part of the name: a service that remembers calls by
-        # their name would give a sample made again the old text's score.
+        # The name includes a hash of the text: a service that deduplicates
+        # calls by name would return the score of the old text for a
+        # regenerated sample.
         digest = hashlib.sha256(sample.text.encode()).hexdigest()
         spec = self._spec
         sample_path = (
--- a/quetzalcourse/coordination/steps/staleness.py
+++ b/quetzalcourse/coordination/steps/staleness.py
@@ -1,4 +1,4 @@
-"""Staleness: which samples name their versions and are new enough."""
+"""Staleness: version labels of samples and the oldest version allowed."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 def find_oldest_allowed_version(spec: StepSpec, newest: int) -> int:
-    """Tell the oldest version whose tokens a step may still deliver.
+    """Return the oldest version whose tokens a step may still deliver.
 
-    :param newest: newest version that is known of the step's model.
+    :param newest: newest known version of the step's model.
     """
     return max(1, max(spec.weight_version, newest) - spec.staleness_bound)
 
@@ -34,7 +34,7 @@
     ranges: tuple[VersionRange, ...],
     chunk: Chunk,
 ) -> tuple[VersionRange, ...]:
-    """Add a chunk's tokens to the list of versions that made a sample.
+    """Add the tokens of a chunk to the version ranges of a sample.
 
     :param ranges: versions of the tokens before the chunk.
     """
@@ -51,7 +51,7 @@
 
 
 def is_labelled(sample: Sample) -> bool:
-    """Tell whether named versions cover every token of a sample."""
+    """Return whether named versions cover every token of a sample."""
     expected = 0
     for version_range in sample.versions:
         if version_range.weight_version < 1 or version_range.start != expected:
@@ -61,27 +61,27 @@
 
 
 def find_oldest_version(versions: Iterable[VersionRange]) -> int:
-    """Tell the oldest version among ranges, zero if there are none."""
+    """Return the oldest version of the ranges, zero if there are none."""
     return min(
         (version_range.weight_version for version_range in versions), default=0
     )
 
 
 def is_deliverable(sample: Sample, oldest_allowed: int) -> bool:
-    """Tell whether a sample is labelled and new enough."""
+    """Return whether a sample is labelled and recent enough."""
     if not is_labelled(sample):
         return False
     return find_oldest_version(sample.versions) >= oldest_allowed
 
 
 class NewestVersions:
-    """Newest weight version of each model, as far as this daemon knows.
+    """Newest weight version of each model known to this daemon.
 
-    :param store: tells what was published.
+    :param store: returns the published versions.
     """
 
     def __init__(self, store: WeightStore, clock: Clock) -> None:
-        """Begin without knowledge."""
+        """Start without known versions."""
         self._store = store
         self._clock = clock
         self._versions: dict[str, int] = {}
@@ -89,21 +89,21 @@
         self._locks: dict[str, asyncio.Lock] = {}
 
     def get_cached(self, model: str) -> int:
-        """Tell the newest version heard of, without asking."""
+        """Return the newest known version without asking the store."""
         return self._versions.get(model, 0)
 
     def observe(self, model: str, version: int) -> None:
-        """Take note of a version that somebody named."""
+        """Record a version that an engine or the store reported."""
         if version > self.get_cached(model):
             self._versions[model] = version
 
     async def fetch(self, model: str) -> Result[int, StoreFault]:
-        """Tell the newest version as it was at most :data:`REFRESH` ago.
+        """Return the newest version, at most :data:`REFRESH_INTERVAL` old.
 
-        The weight store limits its rate, so that one question at a time is
-        on its way for a model and its answer serves for a while.
+        The weight store is rate limited, so that a model has one request in
+        flight at a time and its answer is reused for the interval.
 
-        :returns: the version, or the fault if no answer is new enough.
+        :returns: the version, or the fault if no recent answer exists.
         """
         async with self._locks.setdefault(model, asyncio.Lock()):
             now = self._clock.elapsed()
--- a/quetzalcourse/coordination/steps/step_assembly.py
+++ b/quetzalcourse/coordination/steps/step_assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts that serve training steps together."""
+"""Assembles the components that serve training steps."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 class StepStore(Table, Objects, Protocol):
-    """The platform's store."""
+    """Table and object store of the platform."""
 
 
 class StepPlatform(StepStore, Scorer, WeightStore, Protocol):
-    """Services of the platform that steps need."""
+    """Platform services that steps depend on."""
 
 
 def build_step_service(
@@ -51,12 +51,12 @@
     lengths: LengthEstimator | None = None,
     plan: MitigationPlanner = plan_mitigations,
 ) -> StepService:
-    """Build everything that serves training steps.
+    """Build the step service with all its dependencies.
 
-    :param levels: counts steps and samples against the service levels.
-    :param members: this daemon and the others that are live.
-    :param lengths: lengths that were learnt before.
-    :param plan: chooses the stragglers to help.
+    :param levels: service levels that steps and samples count against.
+    :param members: this daemon and the other live ones.
+    :param lengths: length estimates to start with.
+    :param plan: chooses the stragglers to move or copy.
     """
     newest = NewestVersions(platform, clock)
     metrics = DeliveryMetrics(clock, counters, levels)
--- a/quetzalcourse/coordination/steps/step_delivery.py
+++ b/quetzalcourse/coordination/steps/step_delivery.py
@@ -1,4 +1,4 @@
-"""Delivery: a trainer reads by cursor and acknowledges what it has."""
+"""Delivery: trainers read batches by cursor and acknowledge them."""
 
 from __future__ import annotations
 
@@ -52,14 +52,15 @@
 
 
 class StepDelivery:
-    """Reads and changes what a trainer was given of a step.
+    """Delivers a step to its trainer and updates the delivery record.
 
-    Which samples of a batch are new enough is decided when the batch is
-    first read, and written down before the trainer sees it: it reads the
-    same bytes again, and a sample that was left out may be made again.
+    The first read of a batch decides which of its samples are recent
+    enough, and stores the decision before the trainer sees the batch. Later
+    reads return the same bytes, and a sample that was dropped can be
+    generated again.
 
-    :param newest: tells the newest weight versions.
-    :param metrics: told of everything that is delivered.
+    :param newest: returns the newest weight versions.
+    :param metrics: counts every delivery.
     """
 
     def __init__(
@@ -68,7 +69,6 @@
         newest: NewestVersions,
         metrics: DeliveryMetrics,
     ) -> None:
-        """Keep the parts that a reading needs."""
         self._table = table
         self._newest = newest
         self._metrics = metrics
@@ -77,7 +77,7 @@
         self,
         spec: StepSpec,
     ) -> Result[DeliveryRecord, Refusal]:
-        """Read what the trainer was given so far."""
+        """Read the delivery record of a step."""
         return (await self._load(spec)).map(
             lambda row: decode(row, DeliveryRecord)
         )
@@ -87,10 +87,10 @@
         spec: StepSpec,
         cursor: int,
     ) -> Result[list[DeliveredBatch], Refusal]:
-        """Read the batches of a step from a cursor on.
+        """Read the batches of a step, starting at a cursor.
 
-        :param cursor: position of the first batch wanted.
-        :returns: the same batches however often they are read.
+        :param cursor: position of the first batch to return.
+        :returns: the same batches, however often they are read.
         """
         for _ in range(MAX_ATTEMPTS):
             answer = await self._load(spec)
@@ -122,7 +122,7 @@
         spec: StepSpec,
         cursor: int,
     ) -> Result[DeliveryRecord, Refusal]:
-        """Note that the trainer keeps the batches before a cursor.
+        """Record that the trainer has stored the batches before a cursor.
 
         :param cursor: position of the first batch not acknowledged.
         """
@@ -141,15 +141,15 @@
         return changed
 
     async def cancel(self, spec: StepSpec) -> Result[DeliveryRecord, Refusal]:
-        """Give the step up; nothing of it is read any more."""
+        """Cancel the step, which can't be read any more."""
         return await self._change(
             spec, lambda record: Ok(replace(record, cancelled=True))
         )
 
     async def clear(self, spec: StepSpec) -> None:
-        """Delete the batches and claims that nobody reads any more.
+        """Delete the batches and claims that are no longer needed.
 
-        What is left after a fault is deleted by the next call.
+        Rows that remain after a store fault are deleted by the next call.
         """
         for build_prefix in (build_log_prefix, build_claims_prefix):
             rows = await self._table.scan(build_prefix(spec.trainer, spec.step))
@@ -209,8 +209,8 @@
         ]
         if not unsealed:
             return Ok(record)
-        # Without knowing the newest version, a sample could be delivered
-        # that is too old already; the trainer is asked to come back.
+        # Without the newest version, a sample that is already too old could
+        # be delivered; the trainer is asked to retry.
         newest = await self._newest.fetch(spec.model)
         if isinstance(newest, Err):
             return Err(refuse_store_unavailable(newest.err_value))
--- a/quetzalcourse/coordination/steps/step_lease.py
+++ b/quetzalcourse/coordination/steps/step_lease.py
@@ -1,4 +1,4 @@
-"""The lease on a step, told apart from the lease of its next holder."""
+"""Lease on a step, distinguished from later ones by its token."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 
 
 class StepLease:
-    """A lease that was taken, under the token that it was taken with.
+    """A held lease on a step, bound to the token of its acquisition.
 
-    :param lease: the lease, held.
+    :param lease: the held lease.
     """
 
     def __init__(self, table: Table, lease: Lease) -> None:
-        """Keep the token."""
         self.token = lease.token
         self._table = table
         self._lease = lease
 
     @property
     def key(self) -> str:
-        """Name of the lease's row."""
+        """Key of the row of the lease."""
         return self._lease.key
 
     @property
     def keys(self) -> tuple[str, str]:
-        """Names of all rows of the lease."""
+        """Keys of all rows of the lease."""
         return (self._lease.key, self._lease.fence_key)
 
     def require(self) -> Condition:
-        """Give the condition that fails once another holder took over."""
+        """Return the condition that fails once another holder took over."""
         return self._lease.require()
 
     async def renew(self) -> None:
         """Renew the lease.
 
-        While the store is down the term runs out, but nobody else can take
-        the lease either; the run goes on until a later holder is seen.
+        While the store is down the term expires, but no other daemon can
+        acquire the lease either. The run therefore continues until a later
+        holder is seen.
 
-        :raises StepLostError: if another holder took over.
+        :raises StepLeaseLostError: if another daemon took over the lease.
         """
         await self._lease.pursue()
         if not self._lease.held or self._lease.token != self.token:
             await self.check()
 
     async def check(self) -> None:
-        """Look whether the row still carries the token.
+        """Check that the row still carries the token.
 
-        :raises StepLostError: if another holder took over.
+        :raises StepLeaseLostError: if another daemon took over the lease.
         """
         answer = await self._table.read(self.key)
         if isinstance(answer, Err):
@@ -65,6 +65,6 @@
             raise StepLeaseLostError('Another daemon runs the step.')
 
     async def release(self) -> None:
-        """Give the lease up, unless it is another holder's by now."""
+        """Release the lease, unless another daemon holds it by now."""
         if self._lease.token == self.token:
             await self._lease.release()
--- a/quetzalcourse/coordination/steps/step_log.py
+++ b/quetzalcourse/coordination/steps/step_log.py
@@ -1,4 +1,4 @@
-"""The log of a step: batches by position, each written by one holder."""
+"""Log of a step: batches by position, each from one lease holder."""
 
 from __future__ import annotations
 
@@ -36,7 +36,8 @@
     """Log of one step, as the holder of its lease writes it.
 
     The holder loads the whole log before it writes, and every write
-    requires the lease's row, so that no two holders commit one sample.
+    requires the row of the lease, so that no two holders commit the same
+    sample.
 
     :param writer: writes under the lease on the step.
     """
@@ -47,7 +48,7 @@
         writer: FencedWriter,
         spec: StepSpec,
     ) -> None:
-        """Begin with nothing loaded."""
+        """Start with an empty log, before :meth:`load`."""
         self.positions = 0
         self.committed: dict[SampleKey, int] = {}
         self._table = table
@@ -55,7 +56,7 @@
         self._spec = spec
 
     async def load(self) -> Result[None, StoreFault]:
-        """Read every batch that earlier holders committed."""
+        """Load every batch that earlier holders committed."""
         prefix = build_log_prefix(self._spec.trainer, self._spec.step)
         after = ''
         while True:
@@ -71,7 +72,7 @@
     def drop(self, dropped: Iterable[DroppedSample]) -> list[SampleKey]:
         """Forget samples that were too old when they were read.
 
-        :returns: those that have to be made again.
+        :returns: keys of the samples that have to be generated again.
         """
         missing = [
             sample.key
@@ -87,10 +88,10 @@
         samples: tuple[Sample, ...],
         report: RunReport,
     ) -> None:
-        """Commit samples, however long the store takes to answer.
+        """Commit samples, retrying until the store confirms them.
 
-        :param report: what to say of the run in the same transaction.
-        :raises StepLostError: if another holder took over.
+        :param report: progress report to write in the same transaction.
+        :raises StepLeaseLostError: if another daemon took over the lease.
         """
         batch = StepBatch(self.positions, samples)
         await self._writer.insert(
@@ -103,7 +104,7 @@
         samples: tuple[Sample, ...],
         report: RunReport,
     ) -> bool:
-        """Commit samples with one try, before the run ends."""
+        """Try once to commit samples, before the run ends."""
         batch = StepBatch(self.positions, samples)
         return await self._writer.try_insert(
             *self._build_row(batch), self._build_report_write(report)
--- a/quetzalcourse/coordination/steps/step_registry.py
+++ b/quetzalcourse/coordination/steps/step_registry.py
@@ -1,4 +1,4 @@
-"""The steps that were created, as the platform keeps them."""
+"""Registry of the created steps in the store of the platform."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 class StepRegistry:
     """Writes and reads steps and their prompts.
 
-    :param objects: holds the prompts, under their hash.
+    :param objects: object store of the prompts, by hash.
     """
 
     def __init__(self, table: Table, objects: Objects) -> None:
-        """Begin without a remembered step."""
+        """Start with an empty cache."""
         self._table = table
         self._objects = objects
         self._specs: OrderedDict[str, StepSpec] = OrderedDict()
@@ -47,7 +47,7 @@
         trainer: str,
         step: int,
     ) -> Result[StepSpec, Refusal]:
-        """Read a step, which never changes once it was created."""
+        """Read a step, which never changes after its creation."""
         key = build_step_key(trainer, step)
         cached = self._specs.get(key)
         if cached is not None:
@@ -70,7 +70,7 @@
     ) -> Result[StepSpec, StoreFault]:
         """Store the prompts of a step.
 
-        :returns: the step with the name of its prompts.
+        :returns: the step with the name of its prompts object.
         """
         content = encode(prompts)
         name = build_prompts_name(content)
@@ -78,14 +78,14 @@
         return stored.map(lambda _: replace(spec, prompts_name=name))
 
     async def get_prompts(self, spec: StepSpec) -> tuple[str, ...] | None:
-        """Read the prompts of a step, ``None`` if they can't be read now."""
+        """Read the prompts of a step, ``None`` if they are unavailable."""
         answer = await self._objects.get(spec.prompts_name)
         if isinstance(answer, Err) or answer.ok_value is None:
             return None
         return msgspec.json.decode(answer.ok_value, type=tuple[str, ...])
 
     async def insert(self, spec: StepSpec) -> Result[Commit, StoreFault]:
-        """Write the rows of a step, if there is none of its number."""
+        """Insert the rows of a step, unless its number exists already."""
         trainer, step = spec.trainer, spec.step
         key = build_step_key(trainer, step)
         return await self._table.transact(
--- a/quetzalcourse/coordination/steps/step_rows.py
+++ b/quetzalcourse/coordination/steps/step_rows.py
@@ -1,4 +1,4 @@
-"""Names and contents of the rows that keep a step."""
+"""Keys and contents of the rows of a step."""
 
 from __future__ import annotations
 
@@ -21,75 +21,75 @@
 
 
 class StepLeaseLostError(QuetzalcourseError):
-    """End of a run whose step another daemon has taken over."""
+    """Raised when another daemon has taken over the step of a run."""
 
 
 def build_step_key(trainer: str, step: int) -> str:
-    """Name the row of a step."""
+    """Build the key of a step's row."""
     return f'step/{trainer}/{step:012d}'
 
 
 def build_open_key(trainer: str, step: int) -> str:
-    """Name the row that lists a step among the open ones."""
+    """Build the key of the row that lists a step as open."""
     return f'{OPEN_PREFIX}{trainer}/{step:012d}'
 
 
 def parse_open_key(key: str) -> tuple[str, int]:
-    """Read trainer and step from the name of an open step's row."""
+    """Parse trainer and step from the key of an open step's row."""
     trainer, _, step = key.removeprefix(OPEN_PREFIX).rpartition('/')
     return trainer, int(step)
 
 
 def build_lease_key(trainer: str, step: int) -> str:
-    """Name the row of the lease on a step."""
+    """Build the key of the lease on a step."""
     return f'lease/step/{trainer}/{step:012d}'
 
 
 def build_delivery_key(trainer: str, step: int) -> str:
-    """Name the row that says what the trainer was given."""
+    """Build the key of a step's delivery record."""
     return f'step-delivery/{trainer}/{step:012d}'
 
 
 def build_log_prefix(trainer: str, step: int) -> str:
-    """Name what the rows of a step's log begin with."""
+    """Build the key prefix of a step's log."""
     return f'step-log/{trainer}/{step:012d}/'
 
 
 def build_batch_key(trainer: str, step: int, position: int) -> str:
-    """Name the row of a batch of a step's log."""
+    """Build the key of a batch in a step's log."""
     return f'{build_log_prefix(trainer, step)}{position:08d}'
 
 
 def build_claims_prefix(trainer: str, step: int) -> str:
-    """Name what the rows of a step's scoring claims begin with."""
+    """Build the key prefix of a step's scoring claims."""
     return f'step-claim/{trainer}/{step:012d}/'
 
 
 def build_prompts_name(content: bytes) -> str:
-    """Name the object that holds prompts, by their hash."""
+    """Build the name of a prompts object from its hash."""
     return f'prompts/{hashlib.sha256(content).hexdigest()}'
 
 
 def encode(content: object) -> bytes:
-    """Write the content of a row."""
+    """Encode the content of a row."""
     return msgspec.json.encode(content)
 
 
 def decode(row: Row, kind: type[Content]) -> Content:
-    """Read the content of a row."""
+    """Decode the content of a row."""
     return msgspec.json.decode(row.content, type=kind)
 
 
 def require_unchanged(key: str, row: Row | None) -> Condition:
-    """Require that a row is still as it was read."""
+    """Return the condition that a row is unchanged since it was read."""
     return Condition(key, row.version if row else ABSENT)
 
 
 def refuse_store_unavailable(fault: StoreFault | None = None) -> Refusal:
-    """Refuse because the platform's store gave no answer."""
+    """Refuse because the platform's store did not answer."""
     return Refusal(
         RefusalCode.store_unavailable,
-        "The platform's store gave no answer; ask again.",
+        "The platform's store did not answer; retry the request.",
         not_run=False,
         retry_after=STORE_RETRY_AFTER,
         step=fault.step if fault else 'step',
@@ -98,7 +98,7 @@
 
 
 def refuse_unknown_step(trainer: str, step: int) -> Refusal:
-    """Refuse because there is no such step."""
+    """Refuse because the step does not exist."""
     return Refusal(
         RefusalCode.not_found,
         f'Trainer {trainer!r} has no step {step}.',
--- a/quetzalcourse/coordination/steps/step_runner.py
+++ b/quetzalcourse/coordination/steps/step_runner.py
@@ -1,4 +1,4 @@
-"""One run of a step: from the lease to the last committed sample."""
+"""Step runner: runs a step from the held lease to the last commit."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunParts:
-    """What running a step needs of the rest of the daemon.
+    """Dependencies of a step runner.
 
     :param incarnation: name of this process as a lease holder.
     """
@@ -57,8 +57,8 @@
 class StepRunner:
     """Runs a step while its lease is held.
 
-    :param lease: the lease on the step, held.
-    :param prompts: a prompt for each group.
+    :param lease: held lease on the step.
+    :param prompts: one prompt per group.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         prompts: tuple[str, ...],
         lease: StepLease,
     ) -> None:
-        """Begin with nothing loaded."""
+        """Build the components of the run, with nothing loaded yet."""
         clock, counters = parts.dispatch.clock, parts.dispatch.counters
         self._parts = parts
         self._spec = spec
@@ -99,9 +99,9 @@
         self._dispatcher.attach_sink(self._pipeline)
 
     async def run(self) -> None:
-        """Run the step until it is whole, cancelled or another daemon's.
+        """Run the step until it is complete, cancelled or taken over.
 
-        :raises StepLostError: if another daemon took the step over.
+        :raises StepLeaseLostError: if another daemon took over the step.
         """
         bind_log(trainer=self._spec.trainer, step=self._spec.step)
         record = await self._load()
@@ -113,7 +113,7 @@
         await self._close(record)
 
     def report(self) -> RunReport:
-        """Say how far the run is."""
+        """Build the progress report of the run."""
         dispatcher = self._dispatcher
         return RunReport(
             holder=self._parts.incarnation,
@@ -214,8 +214,8 @@
             )
 
     async def _write_progress(self) -> None:
-        # Each commit says how the run stands. A run that commits nothing is
-        # the one whose reasons people look for, so it speaks up as well.
+        # Each commit writes a progress report. Operators look for the reason
+        # when a run commits nothing, so such a run reports as well.
         now = self._clock.elapsed()
         written_at = max(
             self._progress_written_at, self._pipeline.last_commit_at
--- a/quetzalcourse/coordination/steps/step_service.py
+++ b/quetzalcourse/coordination/steps/step_service.py
@@ -1,4 +1,4 @@
-"""Training steps: created once, found again and run by some daemon."""
+"""Step service: creates, runs, delivers and cancels training steps."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 
 
 class StepService:
-    """Creates steps, runs them, and answers for any daemon's.
+    """Creates and runs steps, and serves requests for any daemon's steps.
 
-    :param parts: what runs need.
-    :param objects: holds the prompts.
-    :param members: tells which daemons look for steps without a runner.
+    :param parts: dependencies of the step runners.
+    :param objects: object store of the prompts.
+    :param members: decides which daemons look for steps without a runner.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         objects: Objects,
         members: MemberView,
     ) -> None:
-        """Begin with no step running."""
+        """Start with no running step."""
         self._parts = parts
         self._table = parts.table
         self._registry = StepRegistry(parts.table, objects)
@@ -75,10 +75,10 @@
         spec: StepSpec,
         prompts: tuple[str, ...],
     ) -> Result[StepSpec, Refusal]:
-        """Create a step, or find it if the same was created before.
+        """Create a step, or return it if the same step exists already.
 
-        :param spec: the step; the name of its prompts is filled in.
-        :param prompts: a prompt for each group.
+        :param spec: the step; the name of its prompts object is filled in.
+        :param prompts: one prompt per group.
         :returns: the step as it is stored.
         """
         stored = await self._registry.put_prompts(spec, prompts)
@@ -89,8 +89,8 @@
         if isinstance(written, Ok) and written.ok_value.applied:
             self._start(spec)
             return Ok(spec)
-        # Either the step was there before, or the answer was lost and the
-        # step may be there now: what is stored decides.
+        # Either the step existed before, or the answer was lost and the step
+        # may exist now: the stored row decides.
         found = await self._registry.get(spec.trainer, spec.step)
         if isinstance(found, Err):
             return Err(refuse_store_unavailable())
@@ -106,9 +106,9 @@
         step: int,
         cursor: int,
     ) -> Result[list[DeliveredBatch], Refusal]:
-        """Read the batches of a step from a cursor on.
+        """Read the batches of a step, starting at a cursor.
 
-        :param cursor: position of the first batch wanted.
+        :param cursor: position of the first batch to return.
         """
         found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
@@ -121,7 +121,7 @@
         step: int,
         cursor: int,
     ) -> Result[DeliveryRecord, Refusal]:
-        """Note that the trainer keeps the batches before a cursor."""
+        """Record that the trainer has stored the batches before a cursor."""
         found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
@@ -132,7 +132,7 @@
         trainer: str,
         step: int,
     ) -> Result[DeliveryRecord, Refusal]:
-        """Give a step up; its runner ends it within seconds."""
+        """Cancel a step; its runner stops within seconds."""
         found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
@@ -143,7 +143,7 @@
         trainer: str,
         step: int,
     ) -> Result[StepProgress, Refusal]:
-        """Tell how far a step is, whichever daemon runs it."""
+        """Return the progress of a step, whichever daemon runs it."""
         found = await self._registry.get(trainer, step)
         if isinstance(found, Err):
             return found
@@ -166,14 +166,14 @@
         )
 
     async def adopt_orphaned_steps(self) -> None:
-        """Take over steps that nobody runs, for as long as it is awaited."""
+        """Take over open steps that no daemon runs, until cancelled."""
         while True:
             if is_watcher(self._members, OPEN_STEPS_WORK):
                 await self._scan()
             await self._clock.sleep(SCAN_INTERVAL)
 
     async def stop(self) -> None:
-        """End the steps that run here; another daemon goes on with them."""
+        """Stop the steps that run here; other daemons continue them."""
         self._stopping = True
         await cancel_all(tuple(self._running.values()))
 
@@ -203,14 +203,22 @@
         try:
             if not await self._acquire_lease(spec, lease):
                 return
-            bound_log.info('Step is run here.', token=lease.token)
+            bound_log.info(
+                'Step lease acquired; running the step.', token=lease.token
+            )
             await self._run_under_lease(spec, lease)
-            bound_log.info('Step is closed.')
+            bound_log.info('Step closed.')
         except StepLeaseLostError as error:
-            bound_log.warning('Step is run elsewhere.', reason=str(error))
+            bound_log.warning(
+                'Step lease lost to another daemon.', reason=str(error)
+            )
         except Exception as error:
             kind = type(error).__name__
-            bound_log.error('Run of step failed.', kind=kind, reason=str(error))
+            bound_log.error(
+                'Step run failed; a later scan retries it.',
+                kind=kind,
+                reason=str(error),
+            )
             await self._clock.sleep(SCAN_INTERVAL)
 
     async def _acquire_lease(self, spec: StepSpec, lease: Lease) -> bool:
@@ -265,7 +273,7 @@
 def _refuse_conflict(spec: StepSpec) -> Refusal:
     return Refusal(
         RefusalCode.conflict,
-        f'Step {spec.step} was created with another body.',
+        f'Step {spec.step} already exists with a different body.',
         not_run=True,
         step='create step',
     )
--- a/quetzalcourse/coordination/steps/watchers.py
+++ b/quetzalcourse/coordination/steps/watchers.py
@@ -1,4 +1,4 @@
-"""Watchers: the few daemons that look for work which nobody does."""
+"""Watchers: the few daemons that look for work without an owner."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 
 def is_watcher(members: MemberView, work: str) -> bool:
-    """Tell whether this daemon is one of those that watch.
+    """Return whether this daemon is one of the watchers.
 
-    Rendezvous hashing over the live daemons: each finds the same few
-    without asking, so that the reads do not grow with the daemons. While
-    their views differ, a few more watch, which does no harm.
+    Rendezvous hashing over the live daemons: each daemon determines the
+    same few watchers without communication, so that the number of reads
+    does not grow with the number of daemons. While their views of the
+    members differ, a few more daemons watch, which is harmless.
 
-    :param work: name of what is watched; each has its own watchers.
+    :param work: name of the watched work; each has its own watchers.
     """
     live = [
         member.incarnation
