--- a/quetzalcourse/tests/coordination/steps/resumed_request_tests.py
+++ b/quetzalcourse/tests/coordination/steps/resumed_request_tests.py
@@ -1,4 +1,4 @@
-"""A request that was begun elsewhere goes on behind its last token."""
+"""A request that started elsewhere resumes after its last token."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from collections.abc import AsyncIterator
 
 PROMPT = 'a long ghazal'
-BEGUN = 2
+RECEIVED = 2
 
 
 @pytest_asyncio.fixture
@@ -26,10 +26,12 @@
     await running.on_stop()
 
 
-async def test_goes_on_elsewhere(deployment: Deployment) -> None:
-    # A sample is moved off an engine that lags. If the tokens it had were
-    # repeated or left out, the trainer would learn from a text that no
-    # weights ever produced.
+async def test_moved_request_resumes_after_last_token(
+    deployment: Deployment,
+) -> None:
+    # A sample is moved off a lagging engine. If tokens were repeated or
+    # omitted, the trainer would learn from a text that no weights
+    # generated.
     length = plan_length(PROMPT, 0, 40)
     tokens = [make_token(PROMPT, 0, offset) for offset in range(length)]
     request = GenerationRequest(
@@ -40,13 +42,13 @@
         prompt=PROMPT,
         max_tokens=40,
         deadline=deployment.daemon.clock.elapsed() + timedelta(seconds=9),
-        received=tuple(tokens[:BEGUN]),
+        received=tuple(tokens[:RECEIVED]),
         avoid=frozenset(('engine-0',)),
     )
     chunks = [
         chunk async for chunk in deployment.daemon.generation.run(request)
     ]
-    assert chunks[0].offset == BEGUN
+    assert chunks[0].offset == RECEIVED
     found = [token for chunk in chunks for token in chunk.tokens]
-    assert found == tokens[BEGUN:]
+    assert found == tokens[RECEIVED:]
     assert {chunk.upstream for chunk in chunks} == {'engine-1'}
--- a/quetzalcourse/tests/coordination/steps/sample_producer_tests.py
+++ b/quetzalcourse/tests/coordination/steps/sample_producer_tests.py
@@ -1,4 +1,4 @@
-"""A sample is made whole, labelled and new enough, or made again."""
+"""Samples are complete, labelled and recent, or generated again."""
 
 from __future__ import annotations
 
@@ -125,14 +125,14 @@
         (hide_versions, 110, [1] * LENGTH),
     ],
 )
-def test_sample_is_whole_and_truly_labelled(
+def test_sample_is_complete_and_correctly_labelled(
     script: Callable[[ProducerScenario], Awaitable[None]],
     max_tokens: int,
     versions: list[int],
 ) -> None:
-    # Engines crash, refuse, swap weights, fall behind or hide versions in
-    # the middle of a sample. What the trainer gets must be one whole text
-    # whose labels say which weights made which tokens.
+    # Engines crash, refuse requests, swap weights, fall behind or omit
+    # versions in the middle of a sample. The trainer must get one complete
+    # text whose labels name the weights that generated each token.
     async def run() -> tuple[Sample, int]:
         scenario = ProducerScenario()
         sample = await scenario.run(script)
--- a/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_delivery_tests.py
@@ -1,4 +1,4 @@
-"""Two readers of one batch are told the same, whatever each knows."""
+"""Concurrent readers of a batch receive the same samples."""
 
 from __future__ import annotations
 
@@ -53,22 +53,22 @@
 
 def build_delivery(platform: FakePlatform, newest: int) -> StepDelivery:
     clock, counters = FakeClock(), Counters()
-    known = NewestVersions(platform, clock)
-    known.observe(MODEL, newest)
+    newest_versions = NewestVersions(platform, clock)
+    newest_versions.observe(MODEL, newest)
     levels = ServiceLevels(clock, counters)
     metrics = DeliveryMetrics(clock, counters, levels)
-    return StepDelivery(platform, known, metrics)
+    return StepDelivery(platform, newest_versions, metrics)
 
 
 @pytest.mark.parametrize('versions', [(1, 3), (3, 1), (3, 3), (1, 1)])
 @pytest.mark.parametrize('fault', ['', 'lost_before', 'lost_after'])
-async def test_readers_are_told_the_same(
+async def test_concurrent_readers_receive_same_batch(
     versions: tuple[int, int],
     fault: str,
 ) -> None:
-    # A trainer's two workers read a batch through two daemons, of which one
-    # has heard of newer weights. If one got a sample that the other was
-    # told is too old, it would come a second time when it is made again.
+    # Two workers of a trainer read a batch through two daemons, only one of
+    # which knows of newer weights. A sample that one worker receives and
+    # the other sees dropped would be generated and delivered twice.
     platform = await build_platform()
     platform.write_faults.append(fault)
     readers = [build_delivery(platform, newest) for newest in versions]
--- a/quetzalcourse/tests/coordination/steps/step_log_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_log_tests.py
@@ -1,4 +1,4 @@
-"""A holder that was paused commits nothing over its successor."""
+"""A paused lease holder commits nothing after its successor."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from quetzalcourse.tests.step_world import TRAINER, build_spec
 from quetzalcourse.tests.tables import FakeStore
 
-PAUSE = STEP_LEASE_TERMS.term + STEP_LEASE_TERMS.margin
+LEASE_PAUSE = STEP_LEASE_TERMS.term + STEP_LEASE_TERMS.margin
 REPORT = RunReport()
 SPEC = build_spec()
 
@@ -32,7 +32,7 @@
 
 
 class LeaseHolder:
-    """A daemon that wants to write the log."""
+    """A daemon that acquires the lease and writes the log."""
 
     def __init__(self, store: FakeStore, name: str) -> None:
         self.clock = FakeClock()
@@ -45,9 +45,9 @@
         )
         self._store = store
 
-    async def begin(self) -> StepLog:
+    async def acquire(self) -> StepLog:
         while not await self.lease.pursue():
-            self.clock.move(PAUSE)
+            self.clock.move(LEASE_PAUSE)
         step_lease = StepLease(self._store, self.lease)
         writer = FencedWriter(self._store, step_lease, self.clock)
         log = StepLog(self._store, writer, SPEC)
@@ -61,34 +61,34 @@
     fault: str,
     position: int,
 ) -> None:
-    # A daemon is paused past its term, another takes the step over, and the
-    # first wakes up in the middle of a commit. If that still took effect,
-    # the trainer would get a sample from each of them.
+    # A daemon is paused past its lease term, another takes over the step,
+    # and the first resumes in the middle of a commit. If the commit took
+    # effect, the trainer would receive a sample from each of them.
     store = FakeStore()
     old, new = LeaseHolder(store, 'old'), LeaseHolder(store, 'new')
-    old_log = await old.begin()
+    old_log = await old.acquire()
     for index in range(position):
         await old_log.append((make_sample(index),), REPORT)
-    old.clock.move(PAUSE)
-    new_log = await new.begin()
+    old.clock.move(LEASE_PAUSE)
+    new_log = await new.acquire()
     await new_log.append((make_sample(2),), REPORT)
     store.write_faults.append(fault)
     with pytest.raises(StepLeaseLostError):
         await old_log.append((make_sample(2), make_sample(3)), REPORT)
-    again = await LeaseHolder(store, 'third').begin()
+    again = await LeaseHolder(store, 'third').acquire()
     assert sorted(key.index for key in again.committed) == [
         *range(position),
         2,
     ]
 
 
-async def test_commit_outlasts_own_renewal() -> None:
+async def test_commit_succeeds_after_lost_renewal_answer() -> None:
     # A renewal took effect but its answer was lost, so that the holder
-    # requires a row version that is gone. Its next commit must find its way
-    # without giving the step up.
+    # requires an outdated row version. Its next commit must recover without
+    # giving up the step.
     store = FakeStore()
     holder = LeaseHolder(store, 'holder')
-    log = await holder.begin()
+    log = await holder.acquire()
     store.write_faults.append('lost_after')
     await holder.lease.pursue()
     append = log.append((make_sample(0),), REPORT)
--- a/quetzalcourse/tests/coordination/steps/step_service_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_service_tests.py
@@ -1,4 +1,4 @@
-"""Steps as trainers and operators see them, with faults around them."""
+"""Steps as trainers and operators see them, under injected faults."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
 
 
 @pytest.mark.parametrize('seed', range(1, 31))
-def test_no_schedule_breaks_a_step(seed: int) -> None:
+def test_fault_schedule_keeps_step_intact(seed: int) -> None:
     # Daemons die and freeze, the store is down or loses answers, engines
-    # crash and hide their versions, weights change and scorings fail while
-    # a step runs. A trainer would learn twice from a sample, miss one, or
-    # learn from weights that it did not ask for.
+    # crash and omit versions, weights change and scoring fails while a step
+    # runs. The trainer must not get a sample twice, miss one, or get tokens
+    # of weights that it did not ask for.
     assert run_virtual(run_schedule(seed)) == ()
 
 
 @pytest.mark.parametrize('fault', ['lost_before', 'lost_after', 'not_applied'])
 @pytest.mark.parametrize('writes', [0, 1, 2, 3])
-def test_lost_answers_change_nothing(fault: str, writes: int) -> None:
+def test_lost_store_answers_duplicate_nothing(fault: str, writes: int) -> None:
     # The store's answer to the creation or to one of the first commits is
-    # lost. A commit repeated at another place would be read twice.
+    # lost. A commit repeated at another position would be read twice.
     async def run() -> tuple[list[str], int]:
         world = build_world()
         world.start_daemon()
@@ -70,9 +70,12 @@
     ('body', 'expected'),
     [('body', None), ('other body', RefusalCode.conflict)],
 )
-def test_creation_again(body: str, expected: RefusalCode | None) -> None:
-    # A trainer that got no answer asks again through another daemon. The
-    # same body must be the same step, and another must not replace it.
+def test_repeated_creation_needs_same_body(
+    body: str,
+    expected: RefusalCode | None,
+) -> None:
+    # A trainer that got no answer retries through another daemon. The same
+    # body must give the same step, and a different one must not replace it.
     async def run() -> RefusalCode | None:
         world = build_world()
         first, second = world.start_daemon(), world.start_daemon()
@@ -100,9 +103,9 @@
     run_virtual(run())
 
 
-def test_stuck_step_says_why() -> None:
-    # No engine can run the step. Whoever asks any daemon must see what
-    # holds it up, although nothing is ever committed.
+def test_blocked_step_reports_reason() -> None:
+    # No engine can run the step. Every daemon must report what blocks it,
+    # although nothing is ever committed.
     async def run() -> None:
         world = build_world()
         first, second = world.start_daemon(), world.start_daemon()
@@ -122,9 +125,9 @@
     run_virtual(run())
 
 
-def test_cancelled_step_ends_everywhere() -> None:
-    # A trainer gives a step up. Engines that went on with it would keep
-    # other trainers waiting.
+def test_cancelled_step_stops_on_every_engine() -> None:
+    # A trainer cancels a step. Engines that continued it would delay other
+    # trainers.
     async def run() -> None:
         world = build_world()
         first, second = world.start_daemon(), world.start_daemon()
@@ -152,8 +155,8 @@
     ],
 )
 def test_bad_cursor_is_refused(cursor: int, code: RefusalCode) -> None:
-    # A trainer restarts with a cursor of its own making. It must not get
-    # samples again that it said it keeps, nor skip any in silence.
+    # A trainer restarts with a cursor that it was never issued. It must not
+    # get acknowledged samples again, nor skip any silently.
     async def run() -> RefusalCode:
         world = build_world()
         daemon = world.start_daemon()
@@ -190,10 +193,10 @@
     assert not [row for row in rows if row.startswith('step-log/')]
 
 
-def test_weights_that_move_on_cause_new_samples() -> None:
-    # Nobody reads a finished step while the weights move on twice. Its
-    # samples are then too old, and a trainer that got them would learn from
-    # a policy that it has left behind.
+def test_outdated_samples_are_generated_again() -> None:
+    # Nobody reads a finished step while two weight versions are published.
+    # Its samples are then too old, and a trainer that got them would learn
+    # from an outdated policy.
     async def run() -> tuple[list[str], set[int], float]:
         world = build_world()
         daemon = world.start_daemon()
@@ -217,9 +220,9 @@
     assert dropped == SPEC.total
 
 
-def test_no_weight_store_delivers_nothing() -> None:
-    # The weight store does not answer, so that nobody knows whether samples
-    # became too old. The trainer is asked to come back.
+def test_unavailable_weight_store_blocks_delivery() -> None:
+    # The weight store does not answer, so that it is unknown whether samples
+    # became too old. The trainer is asked to retry.
     async def run() -> None:
         world = build_world()
         daemon = world.start_daemon()
--- a/quetzalcourse/tests/coordination/steps/stragglers_tests.py
+++ b/quetzalcourse/tests/coordination/steps/stragglers_tests.py
@@ -1,4 +1,4 @@
-"""Which stragglers are helped, and in what order samples begin."""
+"""Selection of stragglers, and the dispatch order of samples."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 COPY, MOVE = MitigationKind.copy, MitigationKind.move
 
 
-def run_on(
+def build_running_sample(
     index: int,
     upstream: str,
     rate: int,
@@ -36,12 +36,12 @@
     )
 
 
-FAST = run_on(0, 'fast', 100)
-SLOW = run_on(1, 'slow', 50)
-SLOWER = run_on(2, 'slow', 50, tokens=40)
-NEARLY = run_on(3, 'nearly', 90)
-STALLED = run_on(4, 'slow', 50, idle=9)
-STARTED = run_on(5, 'slow', 1, tokens=2)
+FAST = build_running_sample(0, 'fast', 100)
+SLOW = build_running_sample(1, 'slow', 50)
+SLOWER = build_running_sample(2, 'slow', 50, tokens=40)
+NEARLY = build_running_sample(3, 'nearly', 90)
+STALLED = build_running_sample(4, 'slow', 50, idle=9)
+STARTED = build_running_sample(5, 'slow', 1, tokens=2)
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
         ([STARTED], 4, []),
     ],
 )
-def test_rescues(
+def test_stragglers_are_moved_or_copied(
     running: list[RunningSample],
     idle: int,
     expected: list[tuple[int, MitigationKind]],
@@ -66,13 +66,13 @@
     assert [(one.key.index, one.kind) for one in found] == expected
 
 
-def test_longest_group_begins_first() -> None:
-    # A group of long answers begins last, and its samples run alone at the
-    # end while the trainer and the other slots wait.
-    memory = LengthEstimator()
-    memory.observe('drill', 'short', 10)
-    memory.observe('drill', 'long', 1000)
-    backlog = Backlog(memory, 'drill', ('short', 'long', 'new'))
+def test_longest_group_starts_first() -> None:
+    # If a group of long answers started last, its samples would run alone at
+    # the end while the trainer and the other slots wait.
+    estimator = LengthEstimator()
+    estimator.observe('drill', 'short', 10)
+    estimator.observe('drill', 'long', 1000)
+    backlog = Backlog(estimator, 'drill', ('short', 'long', 'new'))
     keys = [SampleKey(group, index) for group in range(3) for index in (0, 1)]
     backlog.add(keys)
     order = [backlog.pop() for _ in range(len(keys))]
@@ -80,9 +80,9 @@
     assert len(backlog) == 0
 
 
-def test_unknown_groups_take_turns() -> None:
-    # Nothing is known of the groups. Were the first one begun whole, the
-    # others' lengths would be learnt too late to order anything by them.
+def test_unknown_groups_alternate() -> None:
+    # No group has a length estimate. If the first one started as a whole,
+    # the lengths of the others would be learnt too late to order by them.
     backlog = Backlog(LengthEstimator(), 'drill', ('a', 'b'))
     backlog.add(
         [SampleKey(group, index) for group in (0, 1) for index in (0, 1)]
