--- a/quetzalcourse/coordination/fleet/__init__.py
+++ b/quetzalcourse/coordination/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""How many upstreams there should be, and the orders for them."""
+"""Fleet scaling: the number of upstreams, and orders for them."""
--- a/quetzalcourse/coordination/fleet/fleet_controller.py
+++ b/quetzalcourse/coordination/fleet/fleet_controller.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet at what demand and budget ask for, under a lease."""
+"""Fleet controller: scales upstreams to demand and budget under a lease."""
 
 from __future__ import annotations
 
@@ -30,10 +30,11 @@
 
 
 class FleetController:
-    """Decides and orders every few seconds while the lease is held.
+    """Plans and orders at a fixed interval while the lease is held.
 
-    A new holder waits for the shares of all daemons before it decides:
-    judged by its own callers alone, most upstreams would seem to be idle.
+    A new lease holder waits for the demand reports of all daemons before it
+    plans: by the demand of its own callers alone, most upstreams would seem
+    idle.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Begin without a plan; nothing is ordered then."""
+        """Start with an empty plan, for which nothing is ordered."""
         self._lease = lease
         self._platform = platform
         self._orders = orders
@@ -60,17 +61,17 @@
         self._held_since: timedelta | None = None
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the plan of a manifest that came into force."""
+        """Use the fleet plan of a manifest that came into force."""
         self._plan = manifest.fleet
 
     async def run(self) -> None:
-        """Keep the fleet until the task is cancelled."""
+        """Reconcile the fleet until cancelled."""
         while True:
             await self._clock.sleep(RECONCILE_INTERVAL)
             await self.reconcile()
 
     async def reconcile(self) -> None:
-        """Decide once, and order what differs."""
+        """Plan once, and order the differences."""
         if not self._plan.kinds or not self._lease.held:
             self._held_since = None
             return
@@ -137,7 +138,7 @@
         counters.set('fleet_unmet_tokens', decision.unmet)
         if decision.over_budget:
             log.error(
-                'Budget holds upstreams back.',
+                'Fleet budget limits the number of upstreams.',
                 unmet_tokens=round(decision.unmet),
                 human_tokens=round(demand.human_tokens),
                 training_tokens=round(demand.training_tokens),
--- a/quetzalcourse/coordination/fleet/fleet_demand.py
+++ b/quetzalcourse/coordination/fleet/fleet_demand.py
@@ -1,4 +1,4 @@
-"""What callers ask for, summed up where the fleet is decided on."""
+"""Demand of all callers, reported to the lease holder and aggregated."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class DemandAggregator:
-    """Tells the contenders for a lease what each daemon's callers ask for.
+    """Reports the demand of each daemon to the candidates for a lease.
 
-    The contenders are known to every daemon without asking the store, and
-    one of them is the holder.
+    Every daemon knows the candidates without asking the store, and one of
+    them is the lease holder.
 
-    :param lease_key: lease on platform orders.
+    :param lease_key: key of the lease on platform orders.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         members: MemberView,
         clock: Clock,
     ) -> None:
-        """Begin without shares."""
+        """Start without reports."""
         self._lease_key = lease_key
         self._usage = usage
         self._peers = peers
@@ -51,13 +51,13 @@
         peers.subscribe(Topic.demand, self._receive)
 
     async def run(self) -> None:
-        """Measure and send for as long as the daemon runs."""
+        """Report the demand for as long as the daemon runs."""
         while True:
             await self._clock.sleep(REPORT_INTERVAL)
             self.send()
 
     def send(self) -> None:
-        """Send what this daemon generated since the last time."""
+        """Report the token rates of this daemon since the last report."""
         demand = self._measure()
         own = self._members.own
         self._reports[own.incarnation] = (self._clock.elapsed(), demand)
@@ -68,7 +68,7 @@
                 self._peers.send(member, Topic.demand, content)
 
     def aggregate(self) -> Demand:
-        """Add the shares that were sent lately."""
+        """Return the sum of the recent reports."""
         oldest = self._clock.elapsed() - REPORT_TTL
         self._reports = {
             incarnation: report
--- a/quetzalcourse/coordination/fleet/fleet_planner.py
+++ b/quetzalcourse/coordination/fleet/fleet_planner.py
@@ -1,4 +1,4 @@
-"""How many upstreams of which kind, from demand, prices and budget."""
+"""Plans the number of upstreams from demand, prices and budget."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     demand: Demand,
     view: FleetView,
 ) -> FleetDecision:
-    """Decide what the fleet should be.
-
-    Human callers' work goes on kinds that stay; training fills what these
-    have to spare and then the kinds with the least price for a token.
-    Upstreams are added at once and given back late: only once demand has
-    fallen by the slack, the cool-down after the last growth, and a few at a
-    time. Giving back doesn't start the cool-down anew: a burst's upstreams
-    would be paid for long after its end.
+    """Decide how many upstreams of each kind there should be.
+
+    Requests of human callers go to kinds that can't be reclaimed. Training
+    fills their spare capacity and then the kinds with the lowest price per
+    token. Scaling up is immediate. Scaling down waits until demand has
+    fallen by the slack and the cool-down since the last growth has passed,
+    and removes a few upstreams at a time. It doesn't restart the cool-down:
+    the upstreams of a burst would be paid for long after its end.
     """
     desired = _compute_desired(plan, demand, view, 1)
     retained = _compute_desired(plan, demand, view, 1 + plan.slack)
@@ -40,7 +40,7 @@
 
 
 def compute_hourly_cost(plan: FleetPlan, counts: Counts) -> float:
-    """Tell what upstreams cost an hour; unknown kinds cost nothing."""
+    """Return the cost of upstreams per hour; unknown kinds cost nothing."""
     return sum(
         plan.kinds[place.kind].price_per_hour * count
         for place, count in counts.items()
@@ -97,12 +97,13 @@
     tokens: float,
     smallest: int,
 ) -> None:
-    """Add upstreams until they generate enough.
+    """Add upstreams until their capacity covers a token rate.
 
-    They are spread over the data centres, so that losing one loses little.
+    They are spread over the data centres, so that the loss of one costs
+    little capacity.
 
-    :param tokens: tokens a second that are still to be covered.
-    :param smallest: fewest upstreams to add.
+    :param tokens: tokens per second to cover.
+    :param smallest: minimum number of upstreams to add.
     """
     uncovered = tokens
     still_required = smallest
@@ -188,8 +189,8 @@
     allowed_rate = max(0, view.budget_left) / hours
     over_budget = False
     fitted = dict(counts)
-    # Additions are taken back, dearest token first, and what there is stays:
-    # a budget that ran out must not end requests that are being served.
+    # Only additions are cancelled, the most expensive tokens first. Existing
+    # upstreams stay: an exhausted budget must not end running requests.
     for kind in reversed(_sort_by_token_price(plan)):
         for data_centre in kind.data_centres:
             place = FleetPlace(data_centre, kind.name)
--- a/quetzalcourse/coordination/fleet/in_flight.py
+++ b/quetzalcourse/coordination/fleet/in_flight.py
@@ -1,4 +1,4 @@
-"""Orders and reports that are on their way."""
+"""Tracks orders and reports that are in flight."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 
 
 class InFlightCalls:
-    """Lets what is on its way end before its lease is given up.
+    """Lets calls in flight finish before their lease is released.
 
-    A daemon that stops cancels its work. An order that was cancelled half
-    way may still reach its receiver, beside those of the next holder.
+    A daemon that stops cancels its tasks. An order whose task was cancelled
+    may still reach its receiver, concurrently with orders of the next lease
+    holder.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing on its way."""
+        """Start without calls in flight."""
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, call: Coroutine[Any, Any, Outcome]) -> Outcome:
-        """Send to the end, even if the caller is cancelled.
+        """Run a call to its end, even if the caller is cancelled.
 
-        :param call: what ends by itself, at its timeout at the latest.
+        :param call: coroutine that ends by itself, by its timeout at the
+            latest.
         """
         task = asyncio.get_running_loop().create_task(call)
         self._tasks.add(task)
@@ -34,5 +36,5 @@
         return await asyncio.shield(task)
 
     async def finish(self) -> None:
-        """Wait until nothing is on its way."""
+        """Wait until no call is in flight."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/quetzalcourse/coordination/fleet/orders.py
+++ b/quetzalcourse/coordination/fleet/orders.py
@@ -1,4 +1,4 @@
-"""Orders for upstreams: written first, sent under a lease, reconciled."""
+"""Orders for upstreams: stored first, then sent under a lease."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 
 
 def build_intent_key(place: FleetPlace) -> str:
-    """Name the row of what was last decided for a place."""
+    """Build the key of the row of a place's last intent."""
     return f'{INTENT_PREFIX}{place.data_centre}/{place.kind}'
 
 
 def build_order_id(intent: OrderIntent) -> str:
-    """Name an order after its intent, the same whoever sends it."""
+    """Build the id of an intent's order, the same for every sender."""
     place = intent.place
     return f'{place.data_centre}/{place.kind}/{intent.sequence}'
 
 
 class FleetOrders:
-    """Gives orders while the lease is held, each written down before.
+    """Sends orders while the lease is held, each stored as an intent first.
 
-    An intent is settled once the platform took or refused its order. Until
-    then the same order is sent again, by whoever holds the lease, so that
-    a lost answer does no harm; the next decision for the place waits.
+    An intent is settled once the platform accepted or refused its order.
+    Until then every lease holder sends the same order again, so that a lost
+    answer is harmless, and the next decision for the place waits.
 
-    :param lease: lease on platform orders, pursued elsewhere.
+    :param lease: lease on platform orders, acquired and renewed elsewhere.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Begin without knowing any intent."""
+        """Start without calls in flight or refused places."""
         self.in_flight = InFlightCalls()
         self._table = table
         self._platform = platform
@@ -66,7 +66,7 @@
         self._refused_at: dict[FleetPlace, timedelta] = {}
 
     def list_refused(self) -> frozenset[FleetPlace]:
-        """List the places for which an order was refused lately."""
+        """List the places whose order was refused recently."""
         now = self._clock.elapsed()
         return frozenset(
             place
@@ -80,11 +80,11 @@
         observed: dict[FleetPlace, int],
         notice: timedelta,
     ) -> None:
-        """Order what differs from what there is.
+        """Order the difference between desired and observed counts.
 
-        :param desired: how many upstreams each place should have.
-        :param observed: how many the platform listed just now.
-        :param notice: time for upstreams to drain before they are taken.
+        :param desired: number of upstreams that each place should have.
+        :param observed: number that the platform listed just now.
+        :param notice: time for upstreams to drain before their removal.
         """
         answer = await scan_rows(self._table, INTENT_PREFIX)
         if isinstance(answer, Err) or not self._lease.held:
@@ -158,9 +158,9 @@
             return
         bound_log = log.bind(order=order.order_id, count=intent.count)
         if problem is None:
-            bound_log.info('Order taken.')
+            bound_log.info('Upstream order accepted.')
         else:
-            bound_log.warning('Order refused.')
+            bound_log.warning('Upstream order refused.')
             self._refused_at[intent.place] = self._clock.elapsed()
         settled = OrderIntent(
             intent.place, intent.sequence, intent.count, settled=True
--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -1,4 +1,4 @@
-"""Spending against the budget, kept in the platform's table."""
+"""Spending against the fleet budget, stored in the platform's table."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
     rate: float,
     period: float,
 ) -> SpendingRecord:
-    """Bring the spending up to now.
+    """Advance the spending record to the current time.
 
-    The time since the last update is charged at the rate of then, so that
-    upstreams cost on while no daemon held the lease. A new period starts at
-    zero.
+    The time since the last update is charged at the rate of that update, so
+    that upstreams are also charged while no daemon held the lease. A new
+    period starts at zero.
 
-    :param record: what was kept last, if anything.
+    :param record: last stored record, if any.
     :param now: seconds since the epoch.
-    :param rate: money an hour from now on.
-    :param period: length of the budget's period in seconds.
+    :param rate: cost per hour from now on.
+    :param period: length of the budget period in seconds.
     """
     started = now // period * period
     if record is None or record.started > started:
@@ -49,10 +49,9 @@
 
 
 class SpendingTracker:
-    """Keeps the spending while the lease on platform orders is held."""
+    """Updates the spending while the lease on platform orders is held."""
 
     def __init__(self, table: Table, lease: Lease, clock: Clock) -> None:
-        """Keep the parts; what was spent stands in the table."""
         self._table = table
         self._lease = lease
         self._clock = clock
@@ -64,8 +63,8 @@
     ) -> Result[SpendingRecord, StoreFault]:
         """Charge the time since the last update.
 
-        :param rate: what the upstreams cost an hour now.
-        :param period: time over which the budget is kept.
+        :param rate: current cost of the upstreams per hour.
+        :param period: length of the budget period.
         """
         answer = await self._table.read(SPENDING_KEY)
         if isinstance(answer, Err):
