--- a/quetzalcourse/tests/coordination/fleet/fleet_tests.py
+++ b/quetzalcourse/tests/coordination/fleet/fleet_tests.py
@@ -1,4 +1,4 @@
-"""The fleet's plan in tables, and orders under lost answers and pauses."""
+"""Fleet plans by case, and orders under lost answers and pauses."""
 
 from __future__ import annotations
 
@@ -52,21 +52,21 @@
     utilisation=0.8,
     slack=0.25,
 )
-LONG = timedelta(hours=1)
-RICH = 2400.0
+LONG_AGO = timedelta(hours=1)
+AMPLE_BUDGET = 2400.0
 TERMS = LeaseTerms(
     timedelta(seconds=10), timedelta(seconds=2), timedelta(seconds=2)
 )
 
 
-def make_view(
+def build_view(
     firm: tuple[int, int],
     spot: tuple[int, int],
     unavailable: frozenset[FleetPlace] = frozenset(),
-    since_growth: timedelta = LONG,
-    budget_left: float = RICH,
+    since_growth: timedelta = LONG_AGO,
+    budget_left: float = AMPLE_BUDGET,
 ) -> FleetView:
-    """Make a fleet from the counts in both data centres."""
+    """Build a fleet view from the counts in both data centres."""
     places = (FIRM_A, FIRM_B, SPOT_A, SPOT_B)
     return FleetView(
         dict(zip(places, (*firm, *spot), strict=True)),
@@ -79,35 +79,37 @@
 @pytest.mark.parametrize(
     ('demand', 'view', 'expected'),
     [
-        # Humans get what stays, spread; trainers what is cheapest.
-        ((300, 300), make_view((0, 0), (0, 0)), (2, 2, 2, 2)),
-        # What humans leave over carries training first.
-        ((90, 60), make_view((1, 1), (0, 0)), (1, 1, 0, 0)),
-        # Cheap ones can't be had in one data centre, then in neither.
+        # Humans get kinds that can't be reclaimed, spread over the data
+        # centres; trainers get the cheapest.
+        ((300, 300), build_view((0, 0), (0, 0)), (2, 2, 2, 2)),
+        # Training first uses the spare capacity of human upstreams.
+        ((90, 60), build_view((1, 1), (0, 0)), (1, 1, 0, 0)),
+        # Cheap upstreams are unavailable in one data centre, then in both.
         (
             (80, 300),
-            make_view((1, 0), (0, 0), frozenset([SPOT_A])),
+            build_view((1, 0), (0, 0), frozenset([SPOT_A])),
             (1, 0, 0, 4),
         ),
         (
             (80, 160),
-            make_view((1, 0), (0, 0), frozenset([SPOT_A, SPOT_B])),
+            build_view((1, 0), (0, 0), frozenset([SPOT_A, SPOT_B])),
             (2, 1, 0, 0),
         ),
-        # Demand fell a little, then enough but just now, then long ago.
-        ((270, 0), make_view((3, 2), (0, 0)), (3, 2, 0, 0)),
+        # Demand fell by less than the slack, then by more during the
+        # cool-down, then by more after it.
+        ((270, 0), build_view((3, 2), (0, 0)), (3, 2, 0, 0)),
         (
             (100, 0),
-            make_view((3, 2), (0, 0), since_growth=timedelta(minutes=1)),
+            build_view((3, 2), (0, 0), since_growth=timedelta(minutes=1)),
             (3, 2, 0, 0),
         ),
-        ((100, 0), make_view((3, 2), (0, 0)), (1, 1, 0, 0)),
-        # At most four are changed at once.
-        ((80, 0), make_view((1, 0), (12, 0)), (1, 0, 8, 0)),
-        ((80, 1600), make_view((1, 0), (0, 0)), (1, 0, 4, 4)),
+        ((100, 0), build_view((3, 2), (0, 0)), (1, 1, 0, 0)),
+        # At most four upstreams are added or removed at once.
+        ((80, 0), build_view((1, 0), (12, 0)), (1, 0, 8, 0)),
+        ((80, 1600), build_view((1, 0), (0, 0)), (1, 0, 4, 4)),
     ],
 )
-def test_plan(
+def test_plan_matches_demand_and_prices(
     demand: tuple[float, float],
     view: FleetView,
     expected: tuple[int, int, int, int],
@@ -119,14 +121,14 @@
 
 
 @pytest.mark.parametrize(('budget_left', 'expected'), [(0.0, 5), (24 * 9.0, 6)])
-def test_budget_that_runs_out_keeps_what_there_is(
+def test_exhausted_budget_keeps_existing_upstreams(
     budget_left: float,
     expected: int,
 ) -> None:
-    # Demand rises when the money is nearly spent. Giving upstreams back
-    # would cut requests that are being served; ordering more would spend
-    # what nobody granted, and saying nothing would hide both.
-    view = make_view((1, 0), (2, 2), budget_left=budget_left)
+    # Demand rises when the budget is nearly spent. Removing upstreams would
+    # cut running requests, and adding some would exceed the budget. The
+    # decision must report the shortage.
+    view = build_view((1, 0), (2, 2), budget_left=budget_left)
     decision = plan_fleet(PLAN, Demand(80, 800), view)
     assert sum(decision.counts.values()) == expected
     assert decision.over_budget
@@ -140,13 +142,13 @@
     budget_left=strategies.floats(0, 2400),
 )
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_plan_keeps_its_bounds(
+def test_plan_respects_change_limit_and_budget(
     human: float,
     training: float,
     counts: tuple[int, int, int, int],
     budget_left: float,
 ) -> None:
-    view = make_view(counts[:2], counts[2:], budget_left=budget_left)
+    view = build_view(counts[:2], counts[2:], budget_left=budget_left)
     decision = plan_fleet(PLAN, Demand(human, training), view)
     for place, count in decision.counts.items():
         before = view.counts[place]
@@ -163,9 +165,9 @@
         )
 
 
-def test_spending_goes_on_without_a_holder() -> None:
-    # The holder dies and the next one begins two hours later. Upstreams
-    # cost money all the while, and the budget would look better than it is.
+def test_spending_includes_time_without_lease_holder() -> None:
+    # The lease holder dies and the next one starts two hours later. If the
+    # cost of that time were missed, the budget would seem less used.
     day = 24 * 3600
     first = advance_spending(None, 10 * day, 5, day)
     later = advance_spending(first, 10 * day + 7200, 2, day)
@@ -174,8 +176,8 @@
     assert next_day == SpendingRecord(11 * day, 11 * day + 3600, 2, 2)
 
 
-class OrderTaker:
-    """Platform that takes orders late and loses answers."""
+class OrderReceiver:
+    """Platform that accepts orders late and loses answers."""
 
     def __init__(self, source: random.Random) -> None:
         self.source = source
@@ -188,10 +190,10 @@
         order: FleetOrder,
         may_send: Callable[[], bool],
     ) -> Result[None, OrderProblem]:
-        """Take an order if its sender still may send it."""
-        # The sender may be stopped while the connection is opened.
-        stopped = self.source.random() < 0.2
-        await asyncio.sleep(self.source.uniform(8, 30) if stopped else 0.05)
+        """Accept an order if its sender may still send it."""
+        # The sender may be paused while the connection is opened.
+        paused = self.source.random() < 0.2
+        await asyncio.sleep(self.source.uniform(8, 30) if paused else 0.05)
         if not may_send():
             return Err(OrderProblem.not_sent)
         self.tokens.append(order.token)
@@ -202,49 +204,50 @@
         return Ok(None)
 
     async def list_counts(self) -> Result[list[FleetCount], StoreFault]:
-        """List what was ordered."""
+        """List the ordered counts."""
         return Ok([FleetCount(one, n) for one, n in self.counts.items()])
 
 
-async def run_orders(seed: int) -> tuple[OrderTaker, int]:
-    """Let three daemons order while they pause and the store is bad."""
+async def run_orders(seed: int) -> tuple[OrderReceiver, int]:
+    """Run three daemons that order while they pause and the store fails."""
     source = random.Random(seed)
     store = FakeStore()
-    taker = OrderTaker(source)
-    wanted = {FIRM_A: 1}
+    receiver = OrderReceiver(source)
+    desired = {FIRM_A: 1}
 
-    async def work() -> None:
+    async def run_daemon() -> None:
         table = SlowTable(store, 2, lambda: draw_pause(source, 3))
         clock = VirtualClock()
         lease = Lease(table, clock, 'lease/upstream-orders', 'vm', TERMS)
-        orders = FleetOrders(table, taker, lease, clock, Counters())
+        orders = FleetOrders(table, receiver, lease, clock, Counters())
         while True:
             await lease.pursue()
             if lease.held:
-                counts = dict(taker.counts)
-                await orders.reconcile(wanted, counts, timedelta(0))
-            lasting = lease.held and source.random() < 0.1
-            await asyncio.sleep(15 if lasting else 1)
+                counts = dict(receiver.counts)
+                await orders.reconcile(desired, counts, timedelta(0))
+            pausing = lease.held and source.random() < 0.1
+            await asyncio.sleep(15 if pausing else 1)
 
-    tasks = [asyncio.create_task(work()) for _ in range(3)]
+    tasks = [asyncio.create_task(run_daemon()) for _ in range(3)]
     for _ in range(25):
         await asyncio.sleep(source.uniform(1, 20))
-        wanted[FIRM_A] = source.randrange(8)
+        desired[FIRM_A] = source.randrange(8)
         store.down = source.random() < 0.1
     store.down = False
     await asyncio.sleep(120)
     for task in tasks:
         task.cancel()
-    return taker, wanted[FIRM_A]
+    return receiver, desired[FIRM_A]
 
 
 @given(seed=strategies.integers(0, 10**6))
 @settings(derandomize=True, max_examples=12, deadline=None)
-def test_orders_come_from_one_holder_and_settle(seed: int) -> None:
-    # Daemons pause past their term while orders and store answers are lost.
-    # Two of them would order against each other, or one order would be
-    # given under two contents and be taken for a repetition.
-    taker, wanted = run_virtual(run_orders(seed))
-    assert taker.tokens == sorted(taker.tokens)
-    assert all(len(counts) == 1 for counts in taker.contents.values())
-    assert taker.counts.get(FIRM_A, 0) == wanted
+def test_orders_come_from_one_holder_and_converge(seed: int) -> None:
+    # Daemons pause past their lease term while answers of the platform and
+    # the store are lost. Two daemons must not send conflicting orders, nor
+    # one order id carry two contents, the second of which the platform
+    # would treat as a repetition.
+    receiver, desired = run_virtual(run_orders(seed))
+    assert receiver.tokens == sorted(receiver.tokens)
+    assert all(len(counts) == 1 for counts in receiver.contents.values())
+    assert receiver.counts.get(FIRM_A, 0) == desired
