--- a/quetzalcourse/coordination/weights/__init__.py
+++ b/quetzalcourse/coordination/weights/__init__.py
@@ -1,1 +1,1 @@
-"""New weights onto engines, in waves."""
+"""Deployment of new weight versions to engines, in waves."""
--- a/quetzalcourse/coordination/weights/wave_runner.py
+++ b/quetzalcourse/coordination/weights/wave_runner.py
@@ -1,4 +1,4 @@
-"""Brings new weight versions onto the engines of one data centre."""
+"""Deploys new weight versions to the engines of one data centre."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 class WaveRunner:
-    """Orders new versions while the data centre's lease is held.
+    """Orders engines to load new versions while the lease is held.
 
-    :param data_centre: whose engines to order.
-    :param lease: the data centre's lease on orders to engines, which
-        somebody else renews.
-    :param find_report: tells an engine's last report, if it is recent.
-    :param plan: what waves have to keep.
+    :param data_centre: data centre of the engines.
+    :param lease: lease on orders to the engines of the data centre, acquired
+        and renewed elsewhere.
+    :param find_report: returns an engine's last report, if it is recent.
+    :param plan: limits that every wave respects.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         counters: Counters,
         plan: WavePlan,
     ) -> None:
-        """Begin without a manifest."""
+        """Start with an empty manifest."""
         self._data_centre = data_centre
         self._lease = lease
         self._control = control
@@ -66,11 +66,11 @@
         self._orders: set[asyncio.Task[None]] = set()
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the engines of a manifest that came into force."""
+        """Use the engines of a manifest that came into force."""
         self._manifest = manifest
 
     async def run(self) -> None:
-        """Order what has to be ordered until cancelled."""
+        """Advance the waves until cancelled."""
         while True:
             if self._lease.may_send:
                 await self.advance()
@@ -79,19 +79,19 @@
             await self._clock.sleep(POLL_INTERVAL)
 
     async def finish(self) -> None:
-        """Wait until every order on its way was answered or timed out."""
+        """Wait until every order in flight was answered or timed out."""
         if self._orders:
             await asyncio.wait(self._orders)
 
     def describe(self) -> dict[str, WaveStatus]:
-        """Tell how far each model's newest version is, by model."""
+        """Return the status of the newest version's wave, by model."""
         return {
             model: WaveStatus(wave.version, wave.behind, wave.failed)
             for model, wave in self._waves.items()
         }
 
     async def advance(self) -> None:
-        """Choose the engines to tell now, and tell them."""
+        """Choose the engines that load a version now, and order them to."""
         for model, engines in self._list_engines().items():
             answer = await self._newest.fetch(model)
             if isinstance(answer, Err) or not answer.ok_value:
@@ -107,7 +107,11 @@
         if wave is None or wave.version < version:
             wave = Wave(version, self._plan)
             self._waves[model] = wave
-            log.info('New weights.', model=model, version=version)
+            log.info(
+                'New weight version; starting a wave.',
+                model=model,
+                version=version,
+            )
         return wave
 
     def _list_engines(self) -> dict[str, dict[str, Upstream]]:
@@ -116,7 +120,7 @@
             if upstream.data_centre != self._data_centre:
                 continue
             if upstream.kind is UpstreamKind.engine and upstream.models:
-                # An engine has one set of weights; its first model names it.
+                # An engine has one set of weights, named by its first model.
                 models[upstream.models[0]][name] = upstream
         return models
 
@@ -142,8 +146,8 @@
         upstream: Upstream,
         swap: Swap,
     ) -> None:
-        # Between the choice and this step of the loop the lease may have
-        # ended; an engine that ignores tokens would obey two holders.
+        # The lease may have ended since the engine was chosen. An engine that
+        # ignores fencing tokens would obey two lease holders.
         if not self._lease.may_send:
             return
         token = self._lease.token
--- a/quetzalcourse/coordination/weights/waves.py
+++ b/quetzalcourse/coordination/weights/waves.py
@@ -1,4 +1,4 @@
-"""Waves: which engines load a new weight version, and when."""
+"""Wave planning: which engines load a new weight version, and when."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 
 class Wave:
-    """The way of one version onto the engines of one model.
+    """Deployment of one version to the engines of one model.
 
-    An engine has swapped only when it reports the version. One that was
-    told and has not is out of service for all the planner knows, until it
-    timed out; then others go before it.
+    An engine has swapped only once it reports the version. An engine that
+    was ordered to and has not reported counts as out of service until the
+    swap times out. Other engines then go before it.
 
-    :param plan: what has to be kept.
+    :param plan: limits on lost capacity and on the rate of loads.
     """
 
     def __init__(self, version: int, plan: WavePlan) -> None:
-        """Begin with no engine told."""
+        """Start with no swap ordered."""
         self.version = version
         self.failed = 0
         self.behind = 0
         self._plan = plan
         self._swaps: dict[str, Swap] = {}
-        self._allowance = 1.0
-        self._refilled: timedelta | None = None
+        self._load_allowance = 1.0
+        self._refilled_at: timedelta | None = None
 
     def choose_swaps(
         self,
         now: timedelta,
         engines: Sequence[EngineView],
     ) -> list[Swap]:
-        """Choose the engines to tell now.
+        """Choose the engines that are ordered to swap now.
 
         :param now: time since boot.
-        :param engines: engines that reported themselves lately.
+        :param engines: engines with a recent report.
         """
         self._refill(now)
         behind = [
@@ -52,18 +52,19 @@
         spare_slots = self._count_spare_slots(engines)
         chosen: list[Swap] = []
         for engine in pending:
-            # Two servers of today leave nothing to spare for either; one at
-            # a time still has to load, or the version would never arrive.
+            # With two engines the serving share leaves no spare slots for
+            # either. One at a time still has to load, or the version would
+            # never be deployed.
             fits = slots_out + engine.slots <= spare_slots or slots_out == 0
-            if not fits or self._allowance < 1:
+            if not fits or self._load_allowance < 1:
                 break
-            self._allowance -= 1
+            self._load_allowance -= 1
             slots_out += engine.slots
             chosen.append(self._start_swap(engine, now))
         return chosen
 
     def mark_timed_out(self, swap: Swap) -> None:
-        """Note that an order was not taken, so that others go first."""
+        """Time out a swap that was not accepted, so that others go first."""
         if self._swaps.get(swap.engine) == swap:
             timeout = self._plan.swap_timeout
             self._swaps[swap.engine] = Swap(
@@ -71,13 +72,13 @@
             )
 
     def count_behind(self, engines: Sequence[EngineView]) -> int:
-        """Count the engines that do not report the version yet."""
+        """Count the engines that don't report the version yet."""
         return sum(engine.weight_version < self.version for engine in engines)
 
     def _start_swap(self, engine: EngineView, now: timedelta) -> Swap:
-        before = self._swaps.get(engine.name)
-        attempt = before.attempt + 1 if before else 1
-        if before is not None:
+        previous = self._swaps.get(engine.name)
+        attempt = previous.attempt + 1 if previous else 1
+        if previous is not None:
             self.failed += 1
         swap = Swap(engine.name, self.version, attempt, now)
         self._swaps[engine.name] = swap
@@ -99,9 +100,9 @@
 
     def _refill(self, now: timedelta) -> None:
         rate = self._plan.loads_per_second
-        if self._refilled is not None:
-            passed = (now - self._refilled).total_seconds()
-            self._allowance = min(
-                max(1.0, rate), self._allowance + passed * rate
+        if self._refilled_at is not None:
+            elapsed = (now - self._refilled_at).total_seconds()
+            self._load_allowance = min(
+                max(1.0, rate), self._load_allowance + elapsed * rate
             )
-        self._refilled = now
+        self._refilled_at = now
