--- a/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
+++ b/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
@@ -1,4 +1,4 @@
-"""New weights are ordered under the lease and seen in reports."""
+"""New versions are ordered under the lease and confirmed by reports."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FakeEngines:
-    """Engines that load at once, refuse or stay as they are."""
+    """Engines that load at once, refuse, or keep their version."""
 
     def __init__(self, count: int) -> None:
         self.upstreams = {
@@ -65,7 +65,7 @@
 
 
 class RunnerScenario:
-    """A data centre with its wave runner."""
+    """A wave runner and its lease in one data centre."""
 
     def __init__(self, engines: FakeEngines) -> None:
         self.platform = FakePlatform()
@@ -92,10 +92,10 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def test_failed_swaps_are_tried_again() -> None:
-    # One engine refuses its order, another's answer is lost and its swap
-    # fails. Samples made there would be labelled with the old version and
-    # soon be too old to deliver.
+def test_failed_swaps_are_retried() -> None:
+    # One engine refuses its order; another's answer is lost and its swap
+    # fails. Samples generated there would keep the old version and soon be
+    # too old to deliver.
     async def run() -> FakeEngines:
         engines = FakeEngines(4)
         engines.problems = {
@@ -115,9 +115,9 @@
     assert {order.token for order in engines.orders} == {1}
 
 
-def test_nothing_is_ordered_without_the_lease() -> None:
-    # The holder's lease has run out while it was cut off. An engine that
-    # ignores fencing tokens would obey it beside its successor.
+def test_expired_lease_prevents_orders() -> None:
+    # The lease expired while its holder was partitioned. An engine that
+    # ignores fencing tokens would obey both the holder and its successor.
     async def run() -> list[EngineOrder]:
         engines = FakeEngines(4)
         scenario = RunnerScenario(engines)
--- a/quetzalcourse/tests/coordination/weights/waves_tests.py
+++ b/quetzalcourse/tests/coordination/weights/waves_tests.py
@@ -1,4 +1,4 @@
-"""Waves keep capacity and rate, and come back to engines that failed."""
+"""Waves respect capacity and rate limits, and retry failed engines."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ('count', 'expected'),
     [(1, 1), (2, 1), (4, 1), (8, 2), (100, 3)],
 )
-def test_first_wave(count: int, expected: int) -> None:
+def test_first_wave_fits_spare_capacity(count: int, expected: int) -> None:
     wave = Wave(2, PLAN)
     engines = build_engines(count)
     told = wave.choose_swaps(timedelta(0), engines)
@@ -32,9 +32,9 @@
     assert len(told) == expected
 
 
-def test_failed_swap_goes_behind_others() -> None:
-    # An engine takes the order and keeps its old weights. If it were told
-    # again first, the others would wait for it in every wave.
+def test_failed_swap_is_retried_after_others() -> None:
+    # An engine accepts the order and keeps its old weights. If it were
+    # retried first, the others would wait for it in every wave.
     wave = Wave(2, replace(PLAN, serving_share=0.5, loads_per_second=1.0))
     engines = build_engines(2)
     first = wave.choose_swaps(timedelta(0), engines)
@@ -48,8 +48,8 @@
     assert wave.failed == 1
 
 
-def test_refused_order_frees_its_place() -> None:
-    # An engine refuses the order. Others must not wait for its timeout.
+def test_refused_order_frees_its_slots() -> None:
+    # An engine refuses the order. The others must not wait for its timeout.
     wave = Wave(2, replace(PLAN, serving_share=0.5, loads_per_second=1.0))
     engines = build_engines(2)
     (swap,) = wave.choose_swaps(timedelta(0), engines)
@@ -65,14 +65,14 @@
     st.floats(0.5, 8.0),
     st.lists(st.integers(0, 12), min_size=1, max_size=40),
 )
-def test_waves_keep_their_promises(
+def test_waves_respect_limits_and_reach_every_engine(
     slots: list[int],
     share: float,
     rate: float,
     delays: list[int],
 ) -> None:
-    # Engines take from no time to longer than the timeout to load. Whatever
-    # they do, the slots asked for go on serving and every engine arrives.
+    # Engines load at once or take longer than the timeout. In every case the
+    # required share of slots must keep serving and all engines must load.
     plan = WavePlan(share, rate, timedelta(seconds=10))
     wave = Wave(2, plan)
     versions = dict.fromkeys(range(len(slots)), 1)
