--- a/quetzalcourse/coordination/usage/__init__.py
+++ b/quetzalcourse/coordination/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage counted once and reported in one form."""
+"""Usage accounting: counted once and reported with fixed content."""
--- a/quetzalcourse/coordination/usage/usage_counter.py
+++ b/quetzalcourse/coordination/usage/usage_counter.py
@@ -1,4 +1,4 @@
-"""Counters of what accounts use, by window."""
+"""Counters of the usage of accounts, by time window."""
 
 from __future__ import annotations
 
@@ -25,15 +25,16 @@
 
 
 def format_kind(upstream: Upstream) -> str:
-    """Name the kind of an upstream as reports do."""
+    """Format the kind of an upstream as reports show it."""
     return f'{upstream.kind}-cheap' if upstream.cheap else str(upstream.kind)
 
 
 class UsageCounter:
-    """What this daemon counted, in every window that is not stored yet.
+    """Usage counted by this daemon, by window that is not stored yet.
 
     :param incarnation: name of this run of the daemon.
     :param length: length of a window.
+    :ivar dropped: number of windows whose usage was lost.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         incarnation: str,
         length: timedelta,
     ) -> None:
-        """Begin with nothing counted."""
+        """Start with nothing counted."""
         self.incarnation = incarnation
         self.length = length
         self.dropped = 0
@@ -59,13 +60,13 @@
         traffic_class: str,
         figures: UsageFigures,
     ) -> None:
-        """Count work that an upstream did, in the window of this instant.
+        """Count the work of an upstream in the current window.
 
-        :param figures: what to add.
+        :param figures: usage to add.
         """
-        # A calendar that is set back must not lead into a window that was
-        # stored and forgotten: its count would begin at zero again, below
-        # what is stored, and would be lost.
+        # A calendar that is set back must not reopen a window that was stored
+        # and dropped: its count would restart at zero, below the stored
+        # figures, and would be lost.
         window = name_window(self._clock.now(), self.length)
         window = max(window, self._latest)
         self._latest = window
@@ -76,7 +77,7 @@
         self._changed.setdefault(window, set()).add(key)
 
     def read(self, window: str) -> UsageRow:
-        """Read the whole figures of a window."""
+        """Return the complete figures of a window."""
         return self._build(window, self._windows.get(window, {}))
 
     def list_windows(self) -> list[str]:
@@ -84,7 +85,7 @@
         return sorted(self._windows)
 
     def take_changes(self) -> list[UsageRow]:
-        """Read the figures that changed since they were taken last."""
+        """Return the figures that changed since the last call."""
         changed = self._changed
         self._changed = {}
         return [
@@ -97,15 +98,15 @@
         ]
 
     def drop(self, stored: UsageRow) -> None:
-        """Forget a window, if nothing was counted since it was stored."""
+        """Drop a stored window, if nothing was counted in it since."""
         if self.read(stored.window) == stored:
             self._windows.pop(stored.window, None)
 
     def drop_oldest(self) -> None:
-        """Drop the oldest windows once there are too many.
+        """Drop the oldest windows beyond the limit.
 
-        Only a store that is away for days brings this about; the count of
-        dropped windows is shown, since their usage is lost.
+        Only a store that is unavailable for days causes this. The number of
+        dropped windows is published as a metric, since their usage is lost.
         """
         while len(self._windows) > MAX_WINDOWS:
             self._windows.pop(min(self._windows))
--- a/quetzalcourse/coordination/usage/usage_replication.py
+++ b/quetzalcourse/coordination/usage/usage_replication.py
@@ -1,4 +1,4 @@
-"""Copies of daemons' usage with their peers, for when a daemon dies."""
+"""Replication of usage to peers, which store it if a daemon dies."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 def choose_replica_peers(own: Member, live: list[Member]) -> list[Member]:
-    """Choose the peers that keep a daemon's copies.
+    """Choose the peers that hold the copies of a daemon's usage.
 
-    One is outside the data centre if there is any, since a data centre can
-    be lost as a whole.
+    One of them is in another data centre if possible, since a data centre
+    can be lost as a whole.
 
     :param live: all live daemons.
     """
@@ -55,27 +55,27 @@
 
 
 class UsageReplicator:
-    """Sends this daemon's figures to peers, and stores those of the dead.
+    """Copies this daemon's usage to peers, and stores that of dead daemons.
 
-    :param counter: what this daemon counted.
-    :param rows: stores figures in the table.
+    :param usage: usage counted by this daemon.
+    :param row_store: stores usage rows in the table.
     :param interval: time between copies; a killed daemon loses at most what
         it counted in that time.
     """
 
     def __init__(
         self,
-        counter: UsageCounter,
-        rows: UsageRowStore,
+        usage: UsageCounter,
+        row_store: UsageRowStore,
         peers: Peers,
         members: MemberView,
         clock: Clock,
         counters: Counters,
         interval: timedelta,
     ) -> None:
-        """Begin without copies."""
-        self._counter = counter
-        self._rows = rows
+        """Start without copies of other daemons."""
+        self._usage = usage
+        self._row_store = row_store
         self._peers = peers
         self._members = members
         self._clock = clock
@@ -87,33 +87,33 @@
         members.on_change(self._on_members_changed)
 
     async def run_replication(self) -> None:
-        """Copy for as long as the daemon runs.
+        """Send copies for as long as the daemon runs.
 
-        A task of its own: a slow store must not make copies rarer, since a
-        daemon that dies would then take more along.
+        This is a separate task: a slow store must not delay copies, since a
+        daemon that dies would then lose more usage.
         """
         while True:
             await self._clock.sleep(self._interval)
             self.send()
 
     async def run_storing(self) -> None:
-        """Store what is due for as long as the daemon runs."""
+        """Store the due rows for as long as the daemon runs."""
         while True:
             await self._clock.sleep(self._interval)
             await self.store_due()
 
     def send(self) -> None:
-        """Copy what changed to the keepers, and everything now and then.
+        """Copy changes to the replica peers, and all windows periodically.
 
-        Messages may be lost, and keepers change with the members; both are
-        made good by the next whole copy.
+        Messages may be lost, and the replica peers change with the members.
+        The next full copy corrects both.
         """
-        changes = self._counter.take_changes()
+        changes = self._usage.take_changes()
         self._rounds_until_full -= 1
         if self._rounds_until_full <= 0:
             self._rounds_until_full = FULL_COPY_ROUNDS
-            windows = self._counter.list_windows()
-            changes = [self._counter.read(window) for window in windows]
+            windows = self._usage.list_windows()
+            changes = [self._usage.read(window) for window in windows]
         replica_peers = choose_replica_peers(
             self._members.own, self._members.list_live()
         )
@@ -123,52 +123,54 @@
                 self._peers.send(peer, Topic.usage, content)
 
     async def store_due(self) -> None:
-        """Store finished windows of this daemon and copies of the dead."""
-        now = name_window(self._clock.now(), self._counter.length)
-        for window in self._counter.list_windows():
+        """Store finished windows of this daemon and copies of dead daemons."""
+        now = name_window(self._clock.now(), self._usage.length)
+        for window in self._usage.list_windows():
             if window < now:
                 await self._store_own(window)
         live = {member.incarnation for member in self._members.list_live()}
         for incarnation, window in sorted(self._copies):
             if incarnation not in live or self._is_old(window):
                 await self._store_copy(incarnation, window)
-        self._counter.drop_oldest()
-        self._counters.set('usage_windows_dropped', self._counter.dropped)
+        self._usage.drop_oldest()
+        self._counters.set('usage_windows_dropped', self._usage.dropped)
         self._counters.set('usage_copies', len(self._copies))
 
     async def flush(self) -> None:
-        """Store everything of this daemon, which is about to stop."""
-        for window in self._counter.list_windows():
+        """Store all windows of this daemon before it stops."""
+        for window in self._usage.list_windows():
             await self._store_own(window)
 
     def _on_members_changed(self) -> None:
         self._rounds_until_full = 0
 
     async def _store_own(self, window: str) -> None:
-        row = self._counter.read(window)
-        if await self._rows.store(row):
-            self._counter.drop(row)
+        row = self._usage.read(window)
+        if await self._row_store.store(row):
+            self._usage.drop(row)
         else:
             self._counters.add('usage_store_failures')
 
     async def _store_copy(self, incarnation: str, window: str) -> None:
         entries = self._copies[incarnation, window]
         row = UsageRow(window, incarnation, list_entries(entries))
-        if not await self._rows.store(row):
+        if not await self._row_store.store(row):
             self._counters.add('usage_store_failures')
         elif self._copies.get((incarnation, window)) == entries:
             self._copies.pop((incarnation, window))
 
     def _is_old(self, window: str) -> bool:
-        oldest = self._clock.now() - MAX_COPY_AGE_WINDOWS * self._counter.length
-        return window < name_window(oldest, self._counter.length)
+        oldest = self._clock.now() - MAX_COPY_AGE_WINDOWS * self._usage.length
+        return window < name_window(oldest, self._usage.length)
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
             row = msgspec.msgpack.decode(content, type=UsageRow)
         except msgspec.DecodeError:
             self._counters.add('usage_messages_malformed')
-            log.warning('Usage message dropped.', peer=sender.incarnation)
+            log.warning(
+                'Malformed usage message dropped.', peer=sender.incarnation
+            )
             return
         copy_key = (sender.incarnation, row.window)
         self._copies[copy_key] = join_entries(
--- a/quetzalcourse/coordination/usage/usage_reports.py
+++ b/quetzalcourse/coordination/usage/usage_reports.py
@@ -1,4 +1,4 @@
-"""Reports of usage windows: closed, frozen, and sent in one form only."""
+"""Usage reports: windows are closed, frozen and sent with fixed content."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def build_report_key(window: str) -> str:
-    """Name the row of a frozen report."""
+    """Build the key of a frozen report."""
     return f'usage-report/{window}'
 
 
@@ -69,30 +69,30 @@
     prefix: str,
     limit: int | None = None,
 ) -> Result[list[Row], StoreFault]:
-    """Read the rows behind a prefix, page by page.
+    """Read the rows with a key prefix, page by page.
 
-    :param limit: most rows wanted, all if left out.
+    :param limit: maximum number of rows, unlimited if omitted.
     """
-    found: list[Row] = []
+    rows: list[Row] = []
     after = ''
-    while limit is None or len(found) < limit:
+    while limit is None or len(rows) < limit:
         answer = await table.scan(prefix, after, PAGE_SIZE)
         if isinstance(answer, Err):
             return answer
-        found.extend(answer.ok_value)
+        rows.extend(answer.ok_value)
         if len(answer.ok_value) < PAGE_SIZE:
             break
-        after = found[-1].key
-    return Ok(found if limit is None else found[:limit])
+        after = rows[-1].key
+    return Ok(rows if limit is None else rows[:limit])
 
 
 class UsageReporter:
-    """Deals with one window after another while it holds the lease.
+    """Freezes and sends one window after another while it holds the lease.
 
-    :param lease: lease on usage reports, pursued elsewhere.
+    :param lease: lease on usage reports, acquired and renewed elsewhere.
     :param length: length of a window.
     :param grace: time after a window's end for daemons to write their rows.
-    :ivar on_sent: called once a report, with the time since it was due.
+    :ivar on_sent: called once per report, with the time since it was due.
     """
 
     def __init__(
@@ -105,7 +105,6 @@
         length: timedelta,
         grace: timedelta,
     ) -> None:
-        """Keep the parts; what is dealt with stands in the table."""
         self._table = table
         self._reports = reports
         self._lease = lease
@@ -117,15 +116,15 @@
         self.on_sent: Callable[[timedelta], None] = _ignore_delay
 
     async def run(self) -> None:
-        """Do what is due until the task is cancelled."""
+        """Process due windows until cancelled."""
         while True:
             if not await self.run_once():
                 await self._clock.sleep(POLL_INTERVAL)
 
     async def run_once(self) -> bool:
-        """Do the next thing that is due.
+        """Send or freeze the next window that is due.
 
-        :returns: whether something was done and the next may be due.
+        :returns: whether something was done, so that more may be due.
         """
         if not self._lease.held:
             return False
@@ -145,8 +144,8 @@
         return await self._freeze(row, progress, window)
 
     async def _initialise(self) -> bool:
-        # What was counted before the first holder came must not be left
-        # behind, so the oldest row decides where the reports begin.
+        # Usage counted before the first lease holder must not be lost, so the
+        # reports start with the window of the oldest row.
         rows = await scan_rows(self._table, 'usage/', 1)
         if isinstance(rows, Err):
             return False
@@ -154,15 +153,21 @@
         if rows.ok_value:
             oldest = rows.ok_value[0].key.split('/')[1]
             window = min(window, oldest)
-        before = name_window(find_start(window) - self._length, self._length)
+        previous_window = name_window(
+            find_start(window) - self._length, self._length
+        )
         return await self._transact(
             (Condition(PROGRESS_KEY, ABSENT),),
-            (build_progress_write(UsageProgress(before, before)),),
+            (
+                build_progress_write(
+                    UsageProgress(previous_window, previous_window)
+                ),
+            ),
         )
 
     async def _freeze(
         self,
-        row: Row,
+        progress_row: Row,
         progress: UsageProgress,
         window: str,
     ) -> bool:
@@ -174,12 +179,12 @@
             return False
         conditions = [
             Condition(build_report_key(window), ABSENT),
-            require_unchanged(PROGRESS_KEY, row),
+            require_unchanged(PROGRESS_KEY, progress_row),
         ]
         writes = [build_progress_write(UsageProgress(window, progress.sent))]
         late_rows = []
-        for found in late.ok_value:
-            included = await self._include_late(found, conditions, writes)
+        for late_row in late.ok_value:
+            included = await self._include_late(late_row, conditions, writes)
             if isinstance(included, Err):
                 return False
             late_rows.append(included.ok_value)
@@ -207,11 +212,11 @@
 
     async def _include_late(
         self,
-        late: Row,
+        late_row: Row,
         conditions: list[Condition],
         writes: list[Write],
     ) -> Result[UsageRow, StoreFault]:
-        row = msgspec.json.decode(late.content, type=UsageRow)
+        row = msgspec.json.decode(late_row.content, type=UsageRow)
         included_key = build_included_key(row.window, row.incarnation)
         included = await self._table.read(included_key)
         if isinstance(included, Err):
@@ -224,18 +229,18 @@
         reported = join_entries(
             decode_entries(included.ok_value), decode_entries(in_time.ok_value)
         )
-        whole = join_entries(reported, index_entries(row.entries))
-        conditions.append(require_unchanged(late.key, late))
+        merged = join_entries(reported, index_entries(row.entries))
+        conditions.append(require_unchanged(late_row.key, late_row))
         conditions.append(require_unchanged(included_key, included.ok_value))
-        stored = UsageRow(row.window, row.incarnation, list_entries(whole))
+        stored = UsageRow(row.window, row.incarnation, list_entries(merged))
         writes.append(Write(included_key, encode_row(stored)))
-        writes.append(Write(late.key, None))
-        unreported = subtract_entries(whole, reported)
+        writes.append(Write(late_row.key, None))
+        unreported = subtract_entries(merged, reported)
         return Ok(
             UsageRow(row.window, row.incarnation, list_entries(unreported))
         )
 
-    async def _send(self, row: Row, progress: UsageProgress) -> bool:
+    async def _send(self, progress_row: Row, progress: UsageProgress) -> bool:
         window = name_next(progress.sent, self._length)
         answer = await self._table.read(build_report_key(window))
         if isinstance(answer, Err) or answer.ok_value is None:
@@ -250,9 +255,9 @@
             if sent.err_value is OrderProblem.refused:
                 log.error('Usage report refused.', window=window)
             return False
-        log.info('Usage report taken.', window=window)
+        log.info('Usage report accepted.', window=window)
         noted = await self._transact(
-            (require_unchanged(PROGRESS_KEY, row),),
+            (require_unchanged(PROGRESS_KEY, progress_row),),
             (build_progress_write(UsageProgress(progress.frozen, window)),),
         )
         if noted:
@@ -279,11 +284,11 @@
 
 
 def _ignore_delay(_: timedelta) -> None:
-    """Take no note: nobody listens yet."""
+    """Ignore the delay while no callback is set."""
 
 
 def build_progress_write(progress: UsageProgress) -> Write:
-    """Write down what is dealt with."""
+    """Build the write of the progress row."""
     return Write(PROGRESS_KEY, msgspec.json.encode(progress))
 
 
@@ -294,8 +299,8 @@
 ) -> UsageReportContent:
     """Sum up a closed window.
 
-    :param in_time: rows of the daemons, which change no more.
-    :param late: figures of earlier windows that no report holds yet.
+    :param in_time: rows of the daemons, which no longer change.
+    :param late_row: figures of earlier windows that are in no report yet.
     """
     entries: Entries = {}
     sources = []
--- a/quetzalcourse/coordination/usage/usage_rows.py
+++ b/quetzalcourse/coordination/usage/usage_rows.py
@@ -1,4 +1,4 @@
-"""Daemons' usage rows in the platform's table."""
+"""Usage rows of the daemons in the platform's table."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 
 
 def build_row_key(window: str, incarnation: str) -> str:
-    """Name the row of what a daemon counted in time."""
+    """Build the key of usage that a daemon stored in time."""
     return f'usage/{window}/{incarnation}'
 
 
 def build_late_key(window: str, incarnation: str) -> str:
-    """Name the row of what came after its window was closed."""
+    """Build the key of usage stored after its window was closed."""
     return f'{LATE_PREFIX}{window}/{incarnation}'
 
 
 def build_included_key(window: str, incarnation: str) -> str:
-    """Name the row of late figures that later reports hold already."""
+    """Build the key of late usage that reports include already."""
     return f'usage-included/{window}/{incarnation}'
 
 
 def build_closed_key(window: str) -> str:
-    """Name the row whose presence closes a window."""
+    """Build the key of the row whose presence closes a window."""
     return f'usage-closed/{window}'
 
 
 def encode_row(row: UsageRow) -> bytes:
-    """Write figures as the bytes of a row."""
+    """Encode the content of a usage row."""
     return msgspec.json.encode(row)
 
 
 def decode_entries(row: Row | None) -> Entries:
-    """Read the figures of a row, none if it is absent."""
+    """Decode the figures of a row, empty if it is absent."""
     if row is None:
         return {}
     found = msgspec.json.decode(row.content, type=UsageRow)
@@ -63,25 +63,24 @@
 
 
 def require_unchanged(key: str, row: Row | None) -> Condition:
-    """Require that a row is still as it was read."""
+    """Return the condition that a row is unchanged since it was read."""
     return Condition(key, row.version if row else ABSENT)
 
 
 class UsageRowStore:
-    """Writes rows so that the largest figures stay, whoever writes them.
+    """Stores usage rows such that the largest figures win, whoever writes.
 
-    A closed window's rows never change again: what comes then goes to a row
-    of its own, for the report of a later window.
+    The rows of a closed window never change. Late usage goes to a separate
+    row, for the report of a later window.
     """
 
     def __init__(self, table: Table) -> None:
-        """Keep the table."""
         self._table = table
 
     async def store(self, row: UsageRow) -> bool:
-        """Make figures last, in time or late.
+        """Store figures, in time or as late usage.
 
-        :returns: whether the table holds them now; else try again.
+        :returns: whether the table holds them now; otherwise retry.
         """
         stored = await self._store_in_time(row)
         if stored.is_ok() and not stored.unwrap():
@@ -93,21 +92,21 @@
         answer = await self._table.read(key)
         if isinstance(answer, Err):
             return answer
-        before = decode_entries(answer.ok_value)
-        joined = join_entries(before, index_entries(row.entries))
-        if joined == before:
+        existing = decode_entries(answer.ok_value)
+        merged = join_entries(existing, index_entries(row.entries))
+        if merged == existing:
             return Ok(True)
-        whole = UsageRow(row.window, row.incarnation, list_entries(joined))
-        # The report is summed up after the window is closed. A row written
-        # without this condition could change after the sum, and what it
-        # gained would be in no report.
+        merged_row = UsageRow(row.window, row.incarnation, list_entries(merged))
+        # The report is summed up after the window is closed. Without this
+        # condition a row could change after the sum, and the difference
+        # would be in no report.
         return await self._transact(
             Transaction(
                 (
                     require_unchanged(key, answer.ok_value),
                     Condition(build_closed_key(row.window), ABSENT),
                 ),
-                (Write(key, encode_row(whole)),),
+                (Write(key, encode_row(merged_row)),),
             )
         )
 
@@ -123,20 +122,20 @@
             return late
         if isinstance(included, Err):
             return included
-        before = join_entries(
+        existing = join_entries(
             decode_entries(late.ok_value), decode_entries(included.ok_value)
         )
-        joined = join_entries(before, index_entries(row.entries))
-        if joined == before:
+        merged = join_entries(existing, index_entries(row.entries))
+        if merged == existing:
             return Ok(True)
-        whole = UsageRow(row.window, row.incarnation, list_entries(joined))
+        merged_row = UsageRow(row.window, row.incarnation, list_entries(merged))
         return await self._transact(
             Transaction(
                 (
                     require_unchanged(late_key, late.ok_value),
                     require_unchanged(included_key, included.ok_value),
                 ),
-                (Write(late_key, encode_row(whole)),),
+                (Write(late_key, encode_row(merged_row)),),
             )
         )
 
