--- a/quetzalcourse/tests/coordination/usage/usage_tests.py
+++ b/quetzalcourse/tests/coordination/usage/usage_tests.py
@@ -1,4 +1,4 @@
-"""Usage: in one form only, never twice, and lost only with its counter."""
+"""Usage is reported once, unchanged, and lost only with its daemon."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 KEY = UsageKey('readers', 'human', 'engine')
 
 
-def make_row(tokens: int, window: str = '20260101T000000Z') -> UsageRow:
-    """Make a row with one figure."""
+def build_row(tokens: int, window: str = '20260101T000000Z') -> UsageRow:
+    """Build a row with one entry."""
     figures = UsageFigures(generated_tokens=tokens, requests=1)
     return UsageRow(window, 'vm-1-a', (UsageEntry(KEY, figures),))
 
 
 async def run_world(seed: int, events: int = 40) -> UsageWorld:
-    """Run daemons under load, deaths, stops and a bad store, then calm."""
+    """Run daemons under load and faults, then let them recover."""
     source = random.Random(seed)
     world = UsageWorld(source)
     for _ in range(4):
@@ -60,10 +60,10 @@
 
 @given(seed=strategies.integers(0, 10**6))
 @settings(derandomize=True, max_examples=12, deadline=None)
-def test_no_schedule_reports_twice_or_too_much(seed: int) -> None:
+def test_fault_schedule_never_overreports_usage(seed: int) -> None:
     # Daemons die, stop and start while the store is slow, down, and loses
-    # answers, and billing loses answers too. An account would be billed
-    # twice, or two figures for one window would be argued over.
+    # answers, and billing loses answers too. No account may be billed twice,
+    # and no window be reported with two different figures.
     world = run_virtual(run_world(seed))
     assert world.count_conflicts() == 0
     assert world.count_overlaps() == 0
@@ -74,22 +74,22 @@
 
 @pytest.mark.parametrize('fault', ['', 'lost_before', 'lost_after'])
 async def test_row_keeps_the_largest_figures(fault: str) -> None:
-    # A peer that takes a paused daemon for dead stores an old copy, before
-    # or after the daemon itself; answers may be lost on the way.
+    # A peer that considers a paused daemon dead stores an old copy, before or
+    # after the daemon itself. Answers of the store may be lost.
     store = FakeStore()
     rows = UsageRowStore(store)
     store.write_faults.append(fault)
     for tokens in (9, 9, 4):
-        await rows.store(make_row(tokens))
+        await rows.store(build_row(tokens))
     row = store.table.rows['usage/20260101T000000Z/vm-1-a']
     found = msgspec.json.decode(row.content, type=UsageRow)
-    assert found == make_row(9)
+    assert found == build_row(9)
 
 
-def test_late_figures_are_in_the_next_report_once() -> None:
-    # A daemon that was cut off stores its window after the report was
-    # frozen. Its usage would be in no report, or in two of them if the
-    # part that was reported in time were counted again.
+def test_late_usage_is_reported_once_in_next_report() -> None:
+    # A partitioned daemon stores its window after the report was frozen. Its
+    # usage would be in no report, or in two reports if the part that was
+    # reported in time were counted again.
     async def run() -> list[UsageReportContent]:
         world = UsageWorld(random.Random(1), longest_pause=0.1)
         daemon = world.start()
@@ -128,10 +128,10 @@
     assert late == [3]
 
 
-def test_calendar_set_back_loses_no_count() -> None:
-    # The VM's calendar is corrected backwards across a window's end, after
-    # that window was stored. A count that began again there would stay
-    # below the stored one and never be reported.
+def test_calendar_set_back_loses_no_usage() -> None:
+    # The VM's calendar is set back across the end of a window that was
+    # stored already. A count that restarted there would stay below the
+    # stored one and never be reported.
     clock = FakeClock()
     counter = UsageCounter(clock, 'vm-1-a', timedelta(seconds=60))
     figures = UsageFigures(generated_tokens=3)
@@ -145,7 +145,7 @@
 
 
 async def collect_delays(outage: timedelta) -> list[timedelta]:
-    """Report some windows, with the store down for a while."""
+    """Report several windows, with the store down for a while."""
     world = UsageWorld(random.Random(5), longest_pause=0.1)
     daemon = world.start()
     delays: list[timedelta] = []
@@ -161,9 +161,9 @@
 
 
 @pytest.mark.parametrize('windows', [0, 4])
-def test_delay_of_each_report_is_told(windows: int) -> None:
-    # The store is down while windows end. Their reports come late, which
-    # has to show in the service level of reports.
+def test_on_sent_receives_delay_of_each_report(windows: int) -> None:
+    # The store is down while windows end. The service level of reports must
+    # count their delay.
     delays = run_virtual(collect_delays(LENGTH * windows))
     assert len(delays) >= 2
     late = [delay for delay in delays if delay >= LENGTH]
