--- a/quetzalcourse/coordination/fleet/fleet_controller.py
+++ b/quetzalcourse/coordination/fleet/fleet_controller.py
@@ -78,20 +78,23 @@
         listed = await self._platform.list_counts()
         if isinstance(listed, Err):
             return
-        counts = {one.place: one.count for one in listed.ok_value}
+        counts = {
+            listed_count.place: listed_count.count
+            for listed_count in listed.ok_value
+        }
         self._record_growth(counts)
-        spent = await self._spending.update(
+        spending = await self._spending.update(
             compute_hourly_cost(self._plan, counts), self._plan.budget_period
         )
-        if isinstance(spent, Err) or not self._is_settled():
+        if isinstance(spending, Err) or not self._has_waited_for_reports():
             return
-        view = self._build_view(counts, listed.ok_value, spent.ok_value)
+        view = self._build_view(counts, listed.ok_value, spending.ok_value)
         demand = self._demand.aggregate()
         decision = plan_fleet(self._plan, demand, view)
-        self._publish(decision, demand, spent.ok_value)
+        self._publish(decision, demand, spending.ok_value)
         await self._orders.reconcile(decision.counts, counts, self._plan.notice)
 
-    def _is_settled(self) -> bool:
+    def _has_waited_for_reports(self) -> bool:
         now = self._clock.elapsed()
         if self._held_since is None:
             self._held_since = now
@@ -108,32 +111,36 @@
         self,
         counts: dict[FleetPlace, int],
         listed: list[FleetCount],
-        spent: SpendingRecord,
+        spending: SpendingRecord,
     ) -> FleetView:
         now = self._clock.elapsed()
         period = self._plan.budget_period
         budget = self._plan.budget_per_hour * (period / timedelta(hours=1))
-        used = timedelta(seconds=spent.updated - spent.started)
-        reclaimed = {one.place for one in listed if one.reclaimed}
+        elapsed = timedelta(seconds=spending.updated - spending.started)
+        reclaimed = {
+            listed_count.place
+            for listed_count in listed
+            if listed_count.reclaimed
+        }
         return FleetView(
             counts=counts,
             unavailable=self._orders.list_refused() | reclaimed,
             since_growth={
                 place: now - since for place, since in self._grown_at.items()
             },
-            budget_left=budget - spent.spent,
-            period_left=period - used,
+            budget_left=budget - spending.spent,
+            period_left=period - elapsed,
         )
 
     def _publish(
         self,
         decision: FleetDecision,
         demand: Demand,
-        spent: SpendingRecord,
+        spending: SpendingRecord,
     ) -> None:
         counters = self._counters
-        counters.set('fleet_spent', spent.spent)
-        counters.set('fleet_rate_per_hour', spent.rate)
+        counters.set('fleet_spent', spending.spent)
+        counters.set('fleet_rate_per_hour', spending.rate)
         counters.set('fleet_over_budget', float(decision.over_budget))
         counters.set('fleet_unmet_tokens', decision.unmet)
         if decision.over_budget:
@@ -142,5 +149,5 @@
                 unmet_tokens=round(decision.unmet),
                 human_tokens=round(demand.human_tokens),
                 training_tokens=round(demand.training_tokens),
-                spent=round(spent.spent, 2),
+                spent=round(spending.spent, 2),
             )
--- a/quetzalcourse/coordination/fleet/fleet_demand.py
+++ b/quetzalcourse/coordination/fleet/fleet_demand.py
@@ -84,7 +84,7 @@
     def _measure(self) -> Demand:
         now = self._clock.elapsed()
         seconds = max(1, (now - self._measured_at).total_seconds())
-        totals = dict(self._usage.generated)
+        totals = dict(self._usage.generated_tokens)
         rates = {
             name: (total - self._last_totals.get(name, 0)) / seconds
             for name, total in totals.items()
--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -43,9 +43,9 @@
         return SpendingRecord(started, now, 0, rate)
     same_period = record.started == started
     since = record.updated if same_period else started
-    before = record.spent if same_period else 0
+    previous = record.spent if same_period else 0
     hours = max(0, now - since) / SECONDS_PER_HOUR
-    return SpendingRecord(started, now, before + hours * record.rate, rate)
+    return SpendingRecord(started, now, previous + hours * record.rate, rate)
 
 
 class SpendingTracker:
@@ -70,11 +70,11 @@
         if isinstance(answer, Err):
             return answer
         row = answer.ok_value
-        before = None
+        previous = None
         if row is not None:
-            before = msgspec.json.decode(row.content, type=SpendingRecord)
-        after = advance_spending(
-            before,
+            previous = msgspec.json.decode(row.content, type=SpendingRecord)
+        updated = advance_spending(
+            previous,
             self._clock.now().timestamp(),
             rate,
             period.total_seconds(),
@@ -82,7 +82,7 @@
         written = await self._table.transact(
             Transaction(
                 (self._lease.require(), require_unchanged(SPENDING_KEY, row)),
-                (Write(SPENDING_KEY, msgspec.json.encode(after)),),
+                (Write(SPENDING_KEY, msgspec.json.encode(updated)),),
             )
         )
         if isinstance(written, Err):
@@ -91,4 +91,4 @@
             return Err(
                 StoreFault(FaultKind.not_applied, 'keep spending', 'table')
             )
-        return Ok(after)
+        return Ok(updated)
--- a/quetzalcourse/coordination/steps/dispatcher.py
+++ b/quetzalcourse/coordination/steps/dispatcher.py
@@ -39,7 +39,7 @@
 MAX_CONCURRENT_SAMPLES = 1024
 MITIGATION_INTERVAL = timedelta(seconds=2)
 DEADLINE_MARGIN = timedelta(seconds=60)
-HASH_LENGTH = 16
+PROMPT_HASH_LENGTH = 16
 
 
 class SampleSink(Protocol):
@@ -106,14 +106,16 @@
         self._parts = parts
         self._spec = spec
         self._prompts = prompts
-        self._hashes = tuple(hash_prompt(prompt) for prompt in prompts)
+        self._prompt_hashes = tuple(hash_prompt(prompt) for prompt in prompts)
         self._deadline = deadline
         self._run = run
         self._sink: SampleSink | None = None
-        self._backlog = Backlog(parts.lengths, spec.trainer, self._hashes)
+        self._backlog = Backlog(
+            parts.lengths, spec.trainer, self._prompt_hashes
+        )
         self._producers: dict[SampleKey, SampleProducer] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._changed = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._peak_running = 0
         self._failure: BaseException | None = None
         self._producer_parts = ProducerParts(
@@ -121,7 +123,7 @@
             parts.clock,
             parts.counters,
             parts.newest,
-            self._changed.set,
+            self._wakeup.set,
         )
 
     def attach_sink(self, sink: SampleSink) -> None:
@@ -131,13 +133,13 @@
     def add(self, keys: Iterable[SampleKey]) -> None:
         """Add samples to the backlog."""
         self._backlog.add(keys)
-        self._changed.set()
+        self._wakeup.set()
 
     def regenerate(self, keys: Iterable[SampleKey]) -> None:
         """Generate samples again whose earlier result was discarded."""
-        wanted = list(keys)
-        self.attempts.update(wanted)
-        self.add(wanted)
+        discarded = list(keys)
+        self.attempts.update(discarded)
+        self.add(discarded)
 
     @property
     def backlog(self) -> int:
@@ -177,8 +179,8 @@
                 self._start(self._backlog.pop())
             running = self.count_running()
             self._peak_running = max(self._peak_running, running)
-            self._changed.clear()
-            await self._changed.wait()
+            self._wakeup.clear()
+            await self._wakeup.wait()
             if self._failure is not None:
                 raise self._failure
 
@@ -186,7 +188,7 @@
         """Move or copy stragglers for as long as the step runs."""
         while True:
             await self._parts.clock.sleep(MITIGATION_INTERVAL)
-            self._changed.set()
+            self._wakeup.set()
             if not self._backlog:
                 await self._mitigate_once()
 
@@ -220,13 +222,13 @@
         self._producers[key] = producer
         task = asyncio.get_running_loop().create_task(self._produce(producer))
         self._tasks.add(task)
-        task.add_done_callback(self._on_ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _on_ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._failure = task.exception()
-            self._changed.set()
+            self._wakeup.set()
 
     async def _produce(self, producer: SampleProducer) -> None:
         key = producer.sample_spec.key
@@ -234,9 +236,11 @@
             sample = await producer.produce()
         finally:
             self._producers.pop(key, None)
-            self._changed.set()
+            self._wakeup.set()
         self._parts.lengths.observe(
-            self._spec.trainer, self._hashes[key.group], sample.token_count
+            self._spec.trainer,
+            self._prompt_hashes[key.group],
+            sample.token_count,
         )
         if self._sink is not None:
             self._sink.accept(sample)
@@ -256,6 +260,8 @@
         streams = sum(
             len(producer.streams) for producer in self._producers.values()
         )
+        # Close to the deadline, occupied slots count as idle, so that more
+        # stragglers get a copy.
         if self._parts.clock.elapsed() >= self._deadline - DEADLINE_MARGIN:
             return self._peak_running
         return self._peak_running - streams
@@ -263,4 +269,4 @@
 
 def hash_prompt(prompt: str) -> str:
     """Return the key of a prompt in the length estimates."""
-    return hashlib.sha256(prompt.encode()).hexdigest()[:HASH_LENGTH]
+    return hashlib.sha256(prompt.encode()).hexdigest()[:PROMPT_HASH_LENGTH]
--- a/quetzalcourse/coordination/steps/sample_pipeline.py
+++ b/quetzalcourse/coordination/steps/sample_pipeline.py
@@ -157,9 +157,11 @@
         while not is_full(batch):
             while not queue.empty() and not is_full(batch):
                 batch.append(queue.get_nowait())
-            scoring = queue is self._commit_queue and bool(self._unscored)
-            last = self._dispatcher.pending == 0 and not scoring
-            if last or waited >= MAX_COMMIT_DELAY:
+            awaiting_scores = queue is self._commit_queue and bool(
+                self._unscored
+            )
+            is_last = self._dispatcher.pending == 0 and not awaiting_scores
+            if is_last or waited >= MAX_COMMIT_DELAY:
                 return
             await self._clock.sleep(COMMIT_POLL_INTERVAL)
             waited += COMMIT_POLL_INTERVAL
--- a/quetzalcourse/coordination/steps/sample_producer.py
+++ b/quetzalcourse/coordination/steps/sample_producer.py
@@ -41,7 +41,7 @@
 
 INITIAL_BACKOFF = timedelta(milliseconds=250)
 MAX_BACKOFF = timedelta(seconds=10)
-LATE_TIMEOUT = timedelta(seconds=120)
+MIN_REQUEST_TIMEOUT = timedelta(seconds=120)
 VERSIONS_NOT_NAMED = 'versions_not_named'
 TOO_OLD = 'too_old'
 ENDED_EARLY = 'ended_early'
@@ -200,8 +200,8 @@
 
     async def _receive(self, stream: SampleStream, number: int) -> None:
         request = self._build_request(stream, number)
-        running = self.parts.generation.run(request)
-        async with aclosing(running) as chunks:  # type: ignore[type-var]
+        generation = self.parts.generation.run(request)
+        async with aclosing(generation) as chunks:  # type: ignore[type-var]
             async for chunk in chunks:
                 self._on_chunk(stream, chunk)
 
@@ -240,7 +240,7 @@
     ) -> GenerationRequest:
         sample_spec = self.sample_spec
         spec = sample_spec.step_spec
-        latest = self.parts.clock.elapsed() + LATE_TIMEOUT
+        min_deadline = self.parts.clock.elapsed() + MIN_REQUEST_TIMEOUT
         return GenerationRequest(
             request_id=f'{sample_spec.name}-{sample_spec.run}-{number}',
             client_account=spec.client_account,
@@ -248,7 +248,7 @@
             model=spec.model,
             prompt=sample_spec.prompt,
             max_tokens=spec.max_tokens,
-            deadline=max(sample_spec.deadline, latest),
+            deadline=max(sample_spec.deadline, min_deadline),
             seed=sample_spec.key.index
             + sample_spec.attempt * spec.samples_per_group,
             oldest_version=self._find_oldest_allowed_version(),
@@ -265,10 +265,10 @@
         stream: SampleStream,
         survivor: SampleStream | None = None,
     ) -> None:
-        shared = (
+        shared_tokens = (
             max(stream.inherited_tokens, survivor.inherited_tokens)
             if survivor
             else 0
         )
-        wasted = len(stream.tokens) - shared
-        self.parts.counters.add('tokens_wasted', wasted)
+        wasted_tokens = len(stream.tokens) - shared_tokens
+        self.parts.counters.add('tokens_wasted', wasted_tokens)
--- a/quetzalcourse/coordination/steps/sample_stream.py
+++ b/quetzalcourse/coordination/steps/sample_stream.py
@@ -67,6 +67,8 @@
     :param upstream: name of the engine that sent the last token.
     :param first_token_at: time since boot of the first token of its own.
     :param last_token_at: time since boot of the last token.
+    :param problem: label of the reason why the stream can't be used, if any.
+    :param failure: unexpected error that ended the stream.
     """
 
     tokens: list[str]
--- a/quetzalcourse/coordination/steps/scoring.py
+++ b/quetzalcourse/coordination/steps/scoring.py
@@ -32,7 +32,7 @@
 MAX_CONCURRENT_CALLS = 32
 INITIAL_BACKOFF = timedelta(milliseconds=500)
 MAX_BACKOFF = timedelta(seconds=15)
-DIGEST_LENGTH = 16
+TEXT_DIGEST_LENGTH = 16
 
 
 class StepScoring:
@@ -124,4 +124,4 @@
         sample_path = (
             f'{spec.trainer}/{spec.step}/{sample.group}/{sample.index}'
         )
-        return f'{sample_path}/{attempt}/{digest[:DIGEST_LENGTH]}'
+        return f'{sample_path}/{attempt}/{digest[:TEXT_DIGEST_LENGTH]}'
--- a/quetzalcourse/coordination/steps/staleness.py
+++ b/quetzalcourse/coordination/steps/staleness.py
@@ -52,12 +52,15 @@
 
 def is_labelled(sample: Sample) -> bool:
     """Return whether named versions cover every token of a sample."""
-    expected = 0
+    expected_start = 0
     for version_range in sample.versions:
-        if version_range.weight_version < 1 or version_range.start != expected:
+        if (
+            version_range.weight_version < 1
+            or version_range.start != expected_start
+        ):
             return False
-        expected = version_range.end
-    return bool(sample.versions) and expected == sample.token_count
+        expected_start = version_range.end
+    return bool(sample.versions) and expected_start == sample.token_count
 
 
 def find_oldest_version(versions: Iterable[VersionRange]) -> int:
--- a/quetzalcourse/coordination/steps/step_delivery.py
+++ b/quetzalcourse/coordination/steps/step_delivery.py
@@ -127,22 +127,22 @@
         :param cursor: position of the first batch not acknowledged.
         """
 
-        def change(record: DeliveryRecord) -> Result[DeliveryRecord, Refusal]:
+        def update(record: DeliveryRecord) -> Result[DeliveryRecord, Refusal]:
             if cursor > record.sealed:
                 return Err(refuse_unread_cursor(cursor, record.sealed))
             if record.cancelled:
                 return Err(refuse_cancelled())
-            reached = max(cursor, record.acknowledged)
-            return Ok(replace(record, acknowledged=reached))
+            acknowledged = max(cursor, record.acknowledged)
+            return Ok(replace(record, acknowledged=acknowledged))
 
-        changed = await self._change(spec, change)
-        if isinstance(changed, Ok) and changed.ok_value.finished:
+        updated = await self._update_record(spec, update)
+        if isinstance(updated, Ok) and updated.ok_value.finished:
             await self.clear(spec)
-        return changed
+        return updated
 
     async def cancel(self, spec: StepSpec) -> Result[DeliveryRecord, Refusal]:
         """Cancel the step, which can't be read any more."""
-        return await self._change(
+        return await self._update_record(
             spec, lambda record: Ok(replace(record, cancelled=True))
         )
 
@@ -157,21 +157,21 @@
                 writes = [Write(row.key, None) for row in rows.ok_value]
                 await self._table.transact(Transaction((), tuple(writes)))
 
-    async def _change(
+    async def _update_record(
         self,
         spec: StepSpec,
-        change: Callable[[DeliveryRecord], Result[DeliveryRecord, Refusal]],
+        update: Callable[[DeliveryRecord], Result[DeliveryRecord, Refusal]],
     ) -> Result[DeliveryRecord, Refusal]:
         for _ in range(MAX_ATTEMPTS):
             answer = await self._load(spec)
             if isinstance(answer, Err):
                 return answer
             record = decode(answer.ok_value, DeliveryRecord)
-            changed = change(record)
-            if isinstance(changed, Err) or changed.ok_value == record:
-                return changed
-            if await self._replace_record(answer.ok_value, changed.ok_value):
-                return changed
+            updated = update(record)
+            if isinstance(updated, Err) or updated.ok_value == record:
+                return updated
+            if await self._replace_record(answer.ok_value, updated.ok_value):
+                return updated
         return Err(refuse_store_unavailable())
 
     async def _load(self, spec: StepSpec) -> Result[Row, Refusal]:
--- a/quetzalcourse/coordination/steps/step_rows.py
+++ b/quetzalcourse/coordination/steps/step_rows.py
@@ -16,7 +16,7 @@
     from quetzalcourse.state.rows import Row, StoreFault
 
 Content = TypeVar('Content')
-OPEN_PREFIX = 'steps-open/'
+OPEN_STEPS_PREFIX = 'steps-open/'
 STORE_RETRY_AFTER = timedelta(seconds=2)
 
 
@@ -31,12 +31,12 @@
 
 def build_open_key(trainer: str, step: int) -> str:
     """Build the key of the row that lists a step as open."""
-    return f'{OPEN_PREFIX}{trainer}/{step:012d}'
+    return f'{OPEN_STEPS_PREFIX}{trainer}/{step:012d}'
 
 
 def parse_open_key(key: str) -> tuple[str, int]:
     """Parse trainer and step from the key of an open step's row."""
-    trainer, _, step = key.removeprefix(OPEN_PREFIX).rpartition('/')
+    trainer, _, step = key.removeprefix(OPEN_STEPS_PREFIX).rpartition('/')
     return trainer, int(step)
 
 
--- a/quetzalcourse/coordination/steps/step_runner.py
+++ b/quetzalcourse/coordination/steps/step_runner.py
@@ -85,7 +85,7 @@
             parts.dispatch,
             spec,
             prompts,
-            self._find_deadline(),
+            self._compute_deadline(),
             f'{parts.incarnation}-{lease.token}',
         )
         self._pipeline = SamplePipeline(
@@ -129,7 +129,7 @@
     async def _load(self) -> DeliveryRecord:
         await self._retry(self._log.load)
         await self._retry(self._scoring.load)
-        record = await self._retry(self._find_delivery)
+        record = await self._retry(self._load_record)
         self._log.drop(record.dropped)
         return record
 
@@ -144,7 +144,7 @@
             await self._lease.renew()
             await self._clock.sleep(RETRY_INTERVAL)
 
-    async def _find_delivery(self) -> Result[DeliveryRecord, Refusal]:
+    async def _load_record(self) -> Result[DeliveryRecord, Refusal]:
         return await self._parts.delivery.get_record(self._spec)
 
     async def _run_tasks(self) -> DeliveryRecord:
@@ -182,18 +182,18 @@
             await self._lease.renew()
 
     async def _watch(self) -> DeliveryRecord:
-        seen = 0
+        seen_dropped = 0
         while True:
             await self._parts.dispatch.newest.fetch(self._spec.model)
-            answer = await self._find_delivery()
+            answer = await self._load_record()
             if isinstance(answer, Ok):
                 record = answer.ok_value
                 if record.closed:
                     return record
                 self._dispatcher.regenerate(
-                    self._log.drop(record.dropped[seen:])
+                    self._log.drop(record.dropped[seen_dropped:])
                 )
-                seen = len(record.dropped)
+                seen_dropped = len(record.dropped)
             self._publish_metrics()
             await self._write_progress()
             await self._clock.sleep(WATCH_INTERVAL)
@@ -249,11 +249,11 @@
                 return
             await self._clock.sleep(RETRY_INTERVAL)
 
-    def _find_deadline(self) -> timedelta:
+    def _compute_deadline(self) -> timedelta:
         spec = self._spec
-        passed = self._clock.now() - spec.created
+        since_creation = self._clock.now() - spec.created
         allowed = timedelta(seconds=spec.deadline_seconds)
-        return self._clock.elapsed() + allowed - passed
+        return self._clock.elapsed() + allowed - since_creation
 
 
 async def cancel_all(tasks: tuple[asyncio.Future, ...]) -> None:
--- a/quetzalcourse/coordination/steps/step_service.py
+++ b/quetzalcourse/coordination/steps/step_service.py
@@ -12,7 +12,7 @@
 from quetzalcourse.coordination.steps.step_lease import StepLease
 from quetzalcourse.coordination.steps.step_registry import StepRegistry
 from quetzalcourse.coordination.steps.step_rows import (
-    OPEN_PREFIX,
+    OPEN_STEPS_PREFIX,
     StepLeaseLostError,
     build_lease_key,
     build_open_key,
@@ -87,7 +87,7 @@
         spec = stored.ok_value
         written = await self._registry.insert(spec)
         if isinstance(written, Ok) and written.ok_value.applied:
-            self._start(spec)
+            self._start_run(spec)
             return Ok(spec)
         # Either the step existed before, or the answer was lost and the step
         # may exist now: the stored row decides.
@@ -97,7 +97,7 @@
         if found.ok_value.body_digest != spec.body_digest:
             return Err(_refuse_conflict(spec))
         if isinstance(written, Err):
-            self._start(found.ok_value)
+            self._start_run(found.ok_value)
         return found
 
     async def read(
@@ -169,7 +169,7 @@
         """Take over open steps that no daemon runs, until cancelled."""
         while True:
             if is_watcher(self._members, OPEN_STEPS_WORK):
-                await self._scan()
+                await self._scan_open_steps()
             await self._clock.sleep(SCAN_INTERVAL)
 
     async def stop(self) -> None:
@@ -177,8 +177,8 @@
         self._stopping = True
         await cancel_all(tuple(self._running.values()))
 
-    async def _scan(self) -> None:
-        answer = await self._table.scan(OPEN_PREFIX)
+    async def _scan_open_steps(self) -> None:
+        answer = await self._table.scan(OPEN_STEPS_PREFIX)
         if isinstance(answer, Err):
             return
         for row in answer.ok_value:
@@ -187,9 +187,9 @@
                 continue
             found = await self._registry.get(trainer, step)
             if isinstance(found, Ok):
-                self._start(found.ok_value)
+                self._start_run(found.ok_value)
 
-    def _start(self, spec: StepSpec) -> None:
+    def _start_run(self, spec: StepSpec) -> None:
         key = build_step_key(spec.trainer, spec.step)
         if key in self._running or self._stopping:
             return
--- a/quetzalcourse/coordination/steps/stragglers.py
+++ b/quetzalcourse/coordination/steps/stragglers.py
@@ -96,9 +96,11 @@
 
     :returns: median tokens per second of one stream, by engine name.
     """
-    found: dict[str, list[float]] = defaultdict(list)
+    rates_by_engine: dict[str, list[float]] = defaultdict(list)
     for sample in running:
         seconds = sample.generation_time.total_seconds()
         if sample.tokens >= MIN_RATE_TOKENS and seconds > 0:
-            found[sample.upstream].append(sample.tokens / seconds)
-    return {upstream: median(rates) for upstream, rates in found.items()}
+            rates_by_engine[sample.upstream].append(sample.tokens / seconds)
+    return {
+        upstream: median(rates) for upstream, rates in rates_by_engine.items()
+    }
--- a/quetzalcourse/coordination/usage/usage_counter.py
+++ b/quetzalcourse/coordination/usage/usage_counter.py
@@ -33,7 +33,7 @@
     """Usage counted by this daemon, by window that is not stored yet.
 
     :param incarnation: name of this run of the daemon.
-    :param length: length of a window.
+    :param window_length: length of a window.
     :ivar dropped: number of windows whose usage was lost.
     """
 
@@ -41,17 +41,17 @@
         self,
         clock: Clock,
         incarnation: str,
-        length: timedelta,
+        window_length: timedelta,
     ) -> None:
         """Start with nothing counted."""
         self.incarnation = incarnation
-        self.length = length
+        self.window_length = window_length
         self.dropped = 0
-        self.generated: Counter[str] = Counter()
+        self.generated_tokens: Counter[str] = Counter()
         self._clock = clock
-        self._latest = ''
+        self._latest_window = ''
         self._windows: dict[str, Entries] = {}
-        self._changed: dict[str, set[UsageKey]] = {}
+        self._changed_keys: dict[str, set[UsageKey]] = {}
 
     def record(
         self,
@@ -67,18 +67,18 @@
         # A calendar that is set back must not reopen a window that was stored
         # and dropped: its count would restart at zero, below the stored
         # figures, and would be lost.
-        window = name_window(self._clock.now(), self.length)
-        window = max(window, self._latest)
-        self._latest = window
+        window = name_window(self._clock.now(), self.window_length)
+        window = max(window, self._latest_window)
+        self._latest_window = window
         key = UsageKey(client_account, traffic_class, format_kind(upstream))
         entries = self._windows.setdefault(window, {})
         entries[key] = entries.get(key, NOTHING) + figures
-        self.generated[traffic_class] += figures.generated_tokens
-        self._changed.setdefault(window, set()).add(key)
+        self.generated_tokens[traffic_class] += figures.generated_tokens
+        self._changed_keys.setdefault(window, set()).add(key)
 
     def read(self, window: str) -> UsageRow:
         """Return the complete figures of a window."""
-        return self._build(window, self._windows.get(window, {}))
+        return self._build_row(window, self._windows.get(window, {}))
 
     def list_windows(self) -> list[str]:
         """List the windows that are not stored yet, oldest first."""
@@ -86,14 +86,14 @@
 
     def take_changes(self) -> list[UsageRow]:
         """Return the figures that changed since the last call."""
-        changed = self._changed
-        self._changed = {}
+        changed_keys = self._changed_keys
+        self._changed_keys = {}
         return [
-            self._build(
+            self._build_row(
                 window,
                 {key: self._windows[window][key] for key in keys},
             )
-            for window, keys in sorted(changed.items())
+            for window, keys in sorted(changed_keys.items())
             if window in self._windows
         ]
 
@@ -112,5 +112,5 @@
             self._windows.pop(min(self._windows))
             self.dropped += 1
 
-    def _build(self, window: str, entries: Entries) -> UsageRow:
+    def _build_row(self, window: str, entries: Entries) -> UsageRow:
         return UsageRow(window, self.incarnation, list_entries(entries))
--- a/quetzalcourse/coordination/usage/usage_replication.py
+++ b/quetzalcourse/coordination/usage/usage_replication.py
@@ -124,7 +124,7 @@
 
     async def store_due(self) -> None:
         """Store finished windows of this daemon and copies of dead daemons."""
-        now = name_window(self._clock.now(), self._usage.length)
+        now = name_window(self._clock.now(), self._usage.window_length)
         for window in self._usage.list_windows():
             if window < now:
                 await self._store_own(window)
@@ -160,8 +160,10 @@
             self._copies.pop((incarnation, window))
 
     def _is_old(self, window: str) -> bool:
-        oldest = self._clock.now() - MAX_COPY_AGE_WINDOWS * self._usage.length
-        return window < name_window(oldest, self._usage.length)
+        oldest = (
+            self._clock.now() - MAX_COPY_AGE_WINDOWS * self._usage.window_length
+        )
+        return window < name_window(oldest, self._usage.window_length)
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
--- a/quetzalcourse/coordination/weights/wave_runner.py
+++ b/quetzalcourse/coordination/weights/wave_runner.py
@@ -63,7 +63,7 @@
         self._plan = plan
         self._manifest = Manifest()
         self._waves: dict[str, Wave] = {}
-        self._orders: set[asyncio.Task[None]] = set()
+        self._order_tasks: set[asyncio.Task[None]] = set()
 
     def on_manifest(self, manifest: Manifest) -> None:
         """Use the engines of a manifest that came into force."""
@@ -80,8 +80,8 @@
 
     async def finish(self) -> None:
         """Wait until every order in flight was answered or timed out."""
-        if self._orders:
-            await asyncio.wait(self._orders)
+        if self._order_tasks:
+            await asyncio.wait(self._order_tasks)
 
     def describe(self) -> dict[str, WaveStatus]:
         """Return the status of the newest version's wave, by model."""
@@ -137,8 +137,8 @@
     def _start_order(self, wave: Wave, upstream: Upstream, swap: Swap) -> None:
         loop = asyncio.get_running_loop()
         task = loop.create_task(self._send_order(wave, upstream, swap))
-        self._orders.add(task)
-        task.add_done_callback(self._orders.discard)
+        self._order_tasks.add(task)
+        task.add_done_callback(self._order_tasks.discard)
 
     async def _send_order(
         self,
