--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -52,6 +52,7 @@
     """Updates the spending while the lease on platform orders is held."""
 
     def __init__(self, table: Table, lease: Lease, clock: Clock) -> None:
+        """Start without state; the spending is stored in the table."""
         self._table = table
         self._lease = lease
         self._clock = clock
--- a/quetzalcourse/coordination/usage/usage_reports.py
+++ b/quetzalcourse/coordination/usage/usage_reports.py
@@ -105,6 +105,7 @@
         length: timedelta,
         grace: timedelta,
     ) -> None:
+        """Start without state; the progress is stored in the table."""
         self._table = table
         self._reports = reports
         self._lease = lease
--- a/quetzalcourse/coordination/usage/usage_rows.py
+++ b/quetzalcourse/coordination/usage/usage_rows.py
@@ -68,7 +68,7 @@
 
 
 class UsageRowStore:
-    """Stores usage rows such that the largest figures win, whoever writes.
+    """Stores usage rows such that the largest figures win, whoever writes them.
 
     The rows of a closed window never change. Late usage goes to a separate
     row, for the report of a later window.
--- a/quetzalcourse/tests/coordination/steps/step_service_tests.py
+++ b/quetzalcourse/tests/coordination/steps/step_service_tests.py
@@ -177,11 +177,11 @@
         world = build_world()
         daemon = world.start_daemon()
         await TrainerFake(world, SPEC).run()
-        whole = (await daemon.steps.get_progress(TRAINER, 1)).unwrap()
+        progress = (await daemon.steps.get_progress(TRAINER, 1)).unwrap()
         for _ in range(2):
             (
                 await daemon.steps.acknowledge(
-                    TRAINER, 1, whole.delivery.sealed
+                    TRAINER, 1, progress.delivery.sealed
                 )
             ).unwrap()
         await asyncio.sleep(5)
--- a/quetzalcourse/tests/coordination/usage/usage_tests.py
+++ b/quetzalcourse/tests/coordination/usage/usage_tests.py
@@ -107,10 +107,10 @@
         assert await rows.store(UsageRow(window, early.incarnation, (entry,)))
         await asyncio.sleep(100)
         daemon.end()
-        windows = {taken.window: taken for taken in world.billing.taken}
+        windows = {report.window: report for report in world.billing.taken}
         return [
-            msgspec.json.decode(taken.content, type=UsageReportContent)
-            for _, taken in sorted(windows.items())
+            msgspec.json.decode(report.content, type=UsageReportContent)
+            for _, report in sorted(windows.items())
         ]
 
     reports = run_virtual(run())
--- a/quetzalcourse/tests/coordination/weights/waves_tests.py
+++ b/quetzalcourse/tests/coordination/weights/waves_tests.py
@@ -27,9 +27,9 @@
 def test_first_wave_fits_spare_capacity(count: int, expected: int) -> None:
     wave = Wave(2, PLAN)
     engines = build_engines(count)
-    told = wave.choose_swaps(timedelta(0), engines)
-    told += wave.choose_swaps(SECOND, engines)
-    assert len(told) == expected
+    swaps = wave.choose_swaps(timedelta(0), engines)
+    swaps += wave.choose_swaps(SECOND, engines)
+    assert len(swaps) == expected
 
 
 def test_failed_swap_is_retried_after_others() -> None:
@@ -44,7 +44,9 @@
     assert [swap.engine for swap in second] == ['engine-001']
     engines[1] = replace(engines[1], weight_version=2)
     third = wave.choose_swaps(SECOND * 12, engines)
-    assert [(one.engine, one.attempt) for one in third] == [('engine-000', 2)]
+    assert [(swap.engine, swap.attempt) for swap in third] == [
+        ('engine-000', 2)
+    ]
     assert wave.failed == 1
 
 
@@ -77,7 +79,7 @@
     wave = Wave(2, plan)
     versions = dict.fromkeys(range(len(slots)), 1)
     done: dict[int, int] = {}
-    began: list[int] = []
+    started: list[int] = []
     for second in range(2000):
         for index, at in done.items():
             if at <= second:
@@ -91,10 +93,10 @@
             delay = delays[(index + swap.attempt) % len(delays)]
             if delay < 10 or swap.attempt > 3:
                 done[index] = second + min(delay, 9)
-            began.append(second)
+            started.append(second)
         loading = [index for index, at in done.items() if versions[index] == 1]
         out = sum(slots[index] for index in loading)
         assert out <= sum(slots) * (1 - share) or len(loading) <= 1
-        recent = [at for at in began if at > second - 10]
+        recent = [at for at in started if at > second - 10]
         assert len(recent) <= rate * 10 + max(1.0, rate)
     assert set(versions.values()) == {2}
