--- a/quetzalcourse/coordination/fleet/spending.py
+++ b/quetzalcourse/coordination/fleet/spending.py
@@ -1,4 +1,4 @@
-"""Spending against the budget, kept in the platform's table."""
+"""Spending against the fleet budget, stored in the platform's table."""
 
 from __future__ import annotations
 
@@ -27,32 +27,32 @@
     rate: float,
     period: float,
 ) -> SpendingRecord:
-    """Bring the spending up to now.
+    """Advance the spending record to the current time.
 
-    The time since the last update is charged at the rate of then, so that
-    upstreams cost on while no daemon held the lease. A new period starts at
-    zero.
+    The time since the last update is charged at the rate of that update, so
+    that upstreams are also charged while no daemon held the lease. A new
+    period starts at zero.
 
-    :param record: what was kept last, if anything.
+    :param record: last stored record, if any.
     :param now: seconds since the epoch.
-    :param rate: money an hour from now on.
-    :param period: length of the budget's period in seconds.
+    :param rate: cost per hour from now on.
+    :param period: length of the budget period in seconds.
     """
     started = now // period * period
     if record is None or record.started > started:
         return SpendingRecord(started, now, 0, rate)
     same_period = record.started == started
     since = record.updated if same_period else started
-    before = record.spent if same_period else 0
+    previous = record.spent if same_period else 0
     hours = max(0, now - since) / SECONDS_PER_HOUR
-    return SpendingRecord(started, now, before + hours * record.rate, rate)
+    return SpendingRecord(started, now, previous + hours * record.rate, rate)
 
 
 class SpendingTracker:
-    """Keeps the spending while the lease on platform orders is held."""
+    """Updates the spending while the lease on platform orders is held."""
 
     def __init__(self, table: Table, lease: Lease, clock: Clock) -> None:
-        """Keep the parts; what was spent stands in the table."""
+        """Start without state; the spending is stored in the table."""
         self._table = table
         self._lease = lease
         self._clock = clock
@@ -64,18 +64,18 @@
     ) -> Result[SpendingRecord, StoreFault]:
         """Charge the time since the last update.
 
-        :param rate: what the upstreams cost an hour now.
-        :param period: time over which the budget is kept.
+        :param rate: current cost of the upstreams per hour.
+        :param period: length of the budget period.
         """
         answer = await self._table.read(SPENDING_KEY)
         if isinstance(answer, Err):
             return answer
         row = answer.ok_value
-        before = None
+        previous = None
         if row is not None:
-            before = msgspec.json.decode(row.content, type=SpendingRecord)
-        after = advance_spending(
-            before,
+            previous = msgspec.json.decode(row.content, type=SpendingRecord)
+        updated = advance_spending(
+            previous,
             self._clock.now().timestamp(),
             rate,
             period.total_seconds(),
@@ -86,7 +86,7 @@
                     self._lease.fence_condition(),
                     require_unchanged(SPENDING_KEY, row),
                 ),
-                (Write(SPENDING_KEY, msgspec.json.encode(after)),),
+                (Write(SPENDING_KEY, msgspec.json.encode(updated)),),
             )
         )
         if isinstance(written, Err):
@@ -95,4 +95,4 @@
             return Err(
                 StoreFault(FaultKind.not_applied, 'keep spending', 'table')
             )
-        return Ok(after)
+        return Ok(updated)
--- a/quetzalcourse/coordination/steps/dispatcher.py
+++ b/quetzalcourse/coordination/steps/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch: keeps the samples of one step in the making, within bounds."""
+"""Dispatcher: generates the samples of a step with bounded concurrency."""
 
 from __future__ import annotations
 
@@ -39,42 +39,42 @@
 MAX_CONCURRENT_SAMPLES = 1024
 MITIGATION_INTERVAL = timedelta(seconds=2)
 DEADLINE_MARGIN = timedelta(seconds=60)
-HASH_LENGTH = 16
+PROMPT_HASH_LENGTH = 16
 
 
 class SampleSink(Protocol):
-    """Takes finished samples, within bounded memory."""
+    """Accepts finished samples, within bounded memory."""
 
     @property
     def has_capacity(self) -> bool:
         """Whether more finished samples fit into memory."""
 
     def accept(self, sample: Sample) -> None:
-        """Take a finished sample."""
+        """Accept a finished sample."""
 
 
 @dataclass(slots=True)
 class ConcurrencyBudget:
-    """Samples in the making on this daemon, shared by its steps.
+    """Limit on concurrent samples of this daemon, shared by its steps.
 
-    :param steps: steps that run here.
+    :param steps: number of steps that run on this daemon.
     """
 
     steps: int = 0
 
     @property
     def limit_per_step(self) -> int:
-        """How many samples one step may have in the making."""
+        """Maximum number of concurrent samples of one step."""
         return MAX_CONCURRENT_SAMPLES // max(1, self.steps)
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchParts:
-    """What dispatch needs of the rest of the daemon.
+    """Dependencies of a dispatcher.
 
-    :param lengths: lengths learnt from every step that ran here.
-    :param budget: shared by the steps that run here.
-    :param plan: chooses the stragglers to help.
+    :param lengths: estimates learnt from all steps that ran on this daemon.
+    :param budget: shared by all steps that run on this daemon.
+    :param plan: chooses the stragglers to move or copy.
     """
 
     generation: GenerationService
@@ -87,10 +87,10 @@
 
 
 class Dispatcher:
-    """Makes the samples of one step.
+    """Generates the samples of one step.
 
-    :param deadline: time since boot by which the step should be whole.
-    :param run: name of the run, made part of request ids.
+    :param deadline: time since boot by which the step should be complete.
+    :param run: name of the run, which becomes part of request ids.
     """
 
     def __init__(
@@ -101,19 +101,21 @@
         deadline: timedelta,
         run: str,
     ) -> None:
-        """Begin with nothing to make."""
+        """Start with an empty backlog."""
         self.attempts: Counter[SampleKey] = Counter()
         self._parts = parts
         self._spec = spec
         self._prompts = prompts
-        self._hashes = tuple(hash_prompt(prompt) for prompt in prompts)
+        self._prompt_hashes = tuple(hash_prompt(prompt) for prompt in prompts)
         self._deadline = deadline
         self._run = run
         self._sink: SampleSink | None = None
-        self._backlog = Backlog(parts.lengths, spec.trainer, self._hashes)
+        self._backlog = Backlog(
+            parts.lengths, spec.trainer, self._prompt_hashes
+        )
         self._producers: dict[SampleKey, SampleProducer] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._changed = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._peak_running = 0
         self._failure: BaseException | None = None
         self._producer_parts = ProducerParts(
@@ -121,32 +123,32 @@
             parts.clock,
             parts.counters,
             parts.newest,
-            self._changed.set,
+            self._wakeup.set,
         )
 
     def attach_sink(self, sink: SampleSink) -> None:
-        """Hand finished samples to a sink, and heed its bounds."""
+        """Set the sink of finished samples, whose capacity limits dispatch."""
         self._sink = sink
 
     def add(self, keys: Iterable[SampleKey]) -> None:
-        """Put samples into the backlog."""
+        """Add samples to the backlog."""
         self._backlog.add(keys)
-        self._changed.set()
+        self._wakeup.set()
 
     def regenerate(self, keys: Iterable[SampleKey]) -> None:
-        """Make samples again that were made for nothing."""
-        wanted = list(keys)
-        self.attempts.update(wanted)
-        self.add(wanted)
+        """Generate samples again whose earlier result was discarded."""
+        discarded = list(keys)
+        self.attempts.update(discarded)
+        self.add(discarded)
 
     @property
     def backlog(self) -> int:
-        """Count the samples that were not begun."""
+        """Number of samples that have not started."""
         return len(self._backlog)
 
     @property
     def pending(self) -> int:
-        """Count the samples that are not finished."""
+        """Number of samples that are not finished."""
         return len(self._backlog) + len(self._producers)
 
     def count_waiting(self) -> int:
@@ -154,7 +156,7 @@
         return sum(producer.waiting for producer in self._producers.values())
 
     def count_held_up(self) -> Counter[str]:
-        """Count the samples that nothing runs for, by reason."""
+        """Count the samples without a running stream, by reason."""
         return Counter(
             producer.held_up
             for producer in self._producers.values()
@@ -162,44 +164,44 @@
         )
 
     def count_running(self) -> int:
-        """Count the samples whose tokens arrive."""
+        """Count the samples that are receiving tokens."""
         held_up = self.count_held_up().total()
         return len(self._producers) - self.count_waiting() - held_up
 
     async def dispatch(self) -> None:
-        """Begin samples for as long as the step runs.
+        """Start samples for as long as the step runs.
 
-        :raises Exception: what a sample's making failed with; it would
-            otherwise be missing for ever without a trace.
+        :raises Exception: the error of a sample that failed; the sample
+            would otherwise stay missing without a trace.
         """
         while True:
             while self._may_start():
                 self._start(self._backlog.pop())
             running = self.count_running()
             self._peak_running = max(self._peak_running, running)
-            self._changed.clear()
-            await self._changed.wait()
+            self._wakeup.clear()
+            await self._wakeup.wait()
             if self._failure is not None:
                 raise self._failure
 
     async def mitigate_stragglers(self) -> None:
-        """Help stragglers for as long as the step runs."""
+        """Move or copy stragglers for as long as the step runs."""
         while True:
             await self._parts.clock.sleep(MITIGATION_INTERVAL)
-            self._changed.set()
+            self._wakeup.set()
             if not self._backlog:
                 await self._mitigate_once()
 
     async def stop(self) -> None:
-        """End every stream."""
+        """Cancel every stream."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _may_start(self) -> bool:
-        # Requests beyond what engines take would only wait, in an order
-        # that can no longer be changed, each with its share of memory.
+        # Requests beyond the capacity of the engines would only queue, in an
+        # order that can no longer be changed, and each uses memory.
         if not self._backlog or not (self._sink and self._sink.has_capacity):
             return False
         if len(self._producers) >= self._parts.budget.limit_per_step:
@@ -220,13 +222,13 @@
         self._producers[key] = producer
         task = asyncio.get_running_loop().create_task(self._produce(producer))
         self._tasks.add(task)
-        task.add_done_callback(self._on_ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _on_ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._failure = task.exception()
-            self._changed.set()
+            self._wakeup.set()
 
     async def _produce(self, producer: SampleProducer) -> None:
         key = producer.sample_spec.key
@@ -234,9 +236,11 @@
             sample = await producer.produce()
         finally:
             self._producers.pop(key, None)
-            self._changed.set()
+            self._wakeup.set()
         self._parts.lengths.observe(
-            self._spec.trainer, self._hashes[key.group], sample.token_count
+            self._spec.trainer,
+            self._prompt_hashes[key.group],
+            sample.token_count,
         )
         if self._sink is not None:
             self._sink.accept(sample)
@@ -256,11 +260,13 @@
         streams = sum(
             len(producer.streams) for producer in self._producers.values()
         )
+        # Close to the deadline, occupied slots count as idle, so that more
+        # stragglers get a copy.
         if self._parts.clock.elapsed() >= self._deadline - DEADLINE_MARGIN:
             return self._peak_running
         return self._peak_running - streams
 
 
 def hash_prompt(prompt: str) -> str:
-    """Name a prompt for the memory of lengths."""
-    return hashlib.sha256(prompt.encode()).hexdigest()[:HASH_LENGTH]
+    """Return the key of a prompt in the length estimates."""
+    return hashlib.sha256(prompt.encode()).hexdigest()[:PROMPT_HASH_LENGTH]
