--- a/quetzalcourse/coordination/slots/account_limits.py
+++ b/quetzalcourse/coordination/slots/account_limits.py
@@ -18,14 +18,14 @@
     from quetzalcourse.state.slots import Grant, SlotRequest
 
 BURST_SECONDS = 2.0
-MIN_SHARE = 4
-SHARE_SLACK = 2
+MIN_LIMIT_PER_DAEMON = 4
+BALANCING_SLACK = 2
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _TokenBucket:
     tokens: float
-    filled: timedelta
+    refilled_at: timedelta
 
 
 class AccountLimits:
@@ -40,7 +40,7 @@
         """Begin without accounts, which leaves everything unlimited."""
         self.daemons = 1
         self._accounts: Mapping[str, ClientAccount] = {}
-        self._buckets: dict[str, _Bucket] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
         self._in_flight: Counter[str] = Counter()
         self._waiting: Counter[str] = Counter()
 
@@ -62,7 +62,9 @@
         account = self._accounts.get(request.client_account)
         if account is None or not _is_limited(request):
             return None
-        if self._in_flight[account.name] >= self._share(account.concurrent):
+        if self._in_flight[account.name] >= self._limit_per_daemon(
+            account.concurrent
+        ):
             return _refuse(
                 RefusalCode.rate_limited,
                 f'The account may have {account.concurrent} requests at once.',
@@ -77,7 +79,9 @@
         account = self._accounts.get(request.client_account)
         if account is None or not _is_limited(request):
             return None
-        if self._waiting[account.name] <= self._share(account.queued):
+        if self._waiting[account.name] <= self._limit_per_daemon(
+            account.queued
+        ):
             return None
         return _refuse(
             RefusalCode.overloaded,
@@ -105,29 +109,29 @@
         if _is_limited(request):
             _subtract(self._waiting, request.client_account)
 
-    def _share(self, limit: int) -> int:
+    def _limit_per_daemon(self, limit: int) -> int:
         if self.daemons <= 1:
             return limit
-        even = math.ceil(SHARE_SLACK * limit / self.daemons)
-        return min(limit, max(even, MIN_SHARE))
+        even_share = math.ceil(BALANCING_SLACK * limit / self.daemons)
+        return min(limit, max(even_share, MIN_LIMIT_PER_DAEMON))
 
     def _take_token(
         self,
         account: ClientAccount,
         now: timedelta,
     ) -> Refusal | None:
-        slack = SHARE_SLACK if self.daemons > 1 else 1
+        slack = BALANCING_SLACK if self.daemons > 1 else 1
         rate = min(
             account.requests_per_second * slack / self.daemons,
             account.requests_per_second,
         )
         size = max(rate * BURST_SECONDS, 1.0)
         if self.daemons > 1:
-            size = max(size, float(MIN_SHARE))
-        bucket = self._buckets.setdefault(account.name, _Bucket(size, now))
-        gained = (now - bucket.filled).total_seconds() * rate
-        bucket.tokens = min(bucket.tokens + gained, size)
-        bucket.filled = now
+            size = max(size, float(MIN_LIMIT_PER_DAEMON))
+        bucket = self._buckets.setdefault(account.name, _TokenBucket(size, now))
+        refill = (now - bucket.refilled_at).total_seconds() * rate
+        bucket.tokens = min(bucket.tokens + refill, size)
+        bucket.refilled_at = now
         if bucket.tokens >= 1:
             bucket.tokens -= 1
             return None
--- a/quetzalcourse/coordination/slots/admission.py
+++ b/quetzalcourse/coordination/slots/admission.py
@@ -30,8 +30,8 @@
     from quetzalcourse.state.manifest import Manifest, Upstream
 
 MAX_WAITING = 4096
-OVERLOAD_RETRY = timedelta(seconds=5)
-CLASSES = (TrafficClass.human, TrafficClass.training)
+OVERLOAD_RETRY_AFTER = timedelta(seconds=5)
+CLASSES_BY_PRIORITY = (TrafficClass.human, TrafficClass.training)
 
 
 class Admission:
@@ -60,10 +60,10 @@
         self._counters = counters or Counters()
         self._max_waiting = max_waiting
         self._upstreams: dict[str, Upstream] = {}
-        self._names: dict[int, str] = {}
+        self._account_names: dict[int, str] = {}
         self._queue = FairQueue()
         self._held = HeldSlots()
-        self._orders = itertools.count()
+        self._arrivals = itertools.count()
         self._deadlines = DeadlineTimer(clock, self._expire)
         self._policy.listen(self.on_free, self.on_revoked)
 
@@ -71,7 +71,7 @@
         """Take the upstreams and accounts that came into force."""
         self._upstreams = dict(manifest.upstreams)
         accounts = manifest.client_accounts
-        self._names = {hash_name(name): name for name in accounts}
+        self._account_names = {hash_name(name): name for name in accounts}
         self._queue.weights = {
             hash_name(account.name): account.weight
             for account in accounts.values()
@@ -104,7 +104,7 @@
         now = self._clock.elapsed()
         refusal = self.limits.check(request, now)
         if request.deadline <= now:
-            refusal = _refuse_late()
+            refusal = _refuse_expired()
         if refusal is not None:
             self._count_refusal(request, refusal)
             raise RefusedError(refusal)
@@ -112,7 +112,7 @@
         try:
             return await waiter.granted
         except asyncio.CancelledError:
-            self._abandon(waiter)
+            self._on_cancelled(waiter)
             raise
 
     def release(self, grant: Grant, tokens: int = 0) -> None:
@@ -124,18 +124,18 @@
         if charged is None:
             return
         upstream = grant.upstream.name
-        key = make_key(grant.client_account, grant.traffic_class)
+        key = make_load_key(grant.client_account, grant.traffic_class)
         self.limits.on_left(grant)
         self._queue.charge_end(key, charged, tokens)
         self._policy.on_released(upstream, key, tokens)
-        self._show_running(upstream)
+        self._publish_running(upstream)
         self.on_free(upstream)
 
     def on_free(self, upstream: str) -> None:
         """Hand out what an upstream has free, humans first."""
         if upstream not in self._upstreams:
             return
-        for traffic_class in CLASSES:
+        for traffic_class in CLASSES_BY_PRIORITY:
             while self._policy.may_start(upstream, traffic_class):
                 waiter = self._queue.find_next(upstream, traffic_class)
                 if waiter is None:
@@ -157,8 +157,8 @@
 
     def _enqueue(self, request: SlotRequest, now: timedelta) -> SlotWaiter:
         waiter = SlotWaiter(
-            next(self._orders),
-            make_key(request.client_account, request.traffic_class),
+            next(self._arrivals),
+            make_load_key(request.client_account, request.traffic_class),
             request,
             now,
             asyncio.get_running_loop().create_future(),
@@ -171,22 +171,22 @@
                 self.on_free(upstream)
             if waiter.granted.done():
                 return waiter
-        self._hold(waiter)
+        self._keep_waiting(waiter)
         return waiter
 
-    def _hold(self, waiter: SlotWaiter) -> None:
+    def _keep_waiting(self, waiter: SlotWaiter) -> None:
         refusal = self.limits.check_queue(waiter.request)
         if refusal is not None:
-            self._drop(waiter, refusal)
+            self._reject(waiter, refusal)
             return
         # Without a bound, a flood would take the daemon's memory and every
         # request in the queue would be served too late.
         if len(self._queue) > self._max_waiting:
-            self._drop(self._queue.choose_victim(), _refuse_full())
+            self._reject(self._queue.choose_victim(), _refuse_queue_full())
         if waiter.granted.done():
             return
         self._deadlines.add(waiter.request.deadline)
-        self._show_queue(waiter.key)
+        self._publish_queue_length(waiter.key)
         self._policy.on_queued(waiter)
 
     def _grant(self, waiter: SlotWaiter, upstream: str) -> None:
@@ -198,7 +198,7 @@
         )
         self.limits.on_arrived(grant)
         self._held.add(grant, self._queue.charge_start(waiter.key))
-        self._show_running(upstream)
+        self._publish_running(upstream)
         self._policy.on_started(upstream, waiter.key)
         waiter.granted.set_result(grant)
         wait = self._clock.elapsed() - waiter.queued
@@ -208,7 +208,7 @@
             'slot_wait', wait.total_seconds(), traffic_class=name
         )
 
-    def _abandon(self, waiter: SlotWaiter) -> None:
+    def _on_cancelled(self, waiter: SlotWaiter) -> None:
         # A caller may go away in the same step of the loop in which its
         # slot was granted. Nobody would release that slot, and the engine
         # would stay one short until the daemon restarts.
@@ -225,10 +225,10 @@
         self.limits.on_unqueued(waiter.request)
         self.limits.on_left(waiter.request)
         self._policy.on_unqueued(waiter)
-        self._show_queue(waiter.key)
+        self._publish_queue_length(waiter.key)
         return True
 
-    def _drop(self, waiter: SlotWaiter, refusal: Refusal) -> None:
+    def _reject(self, waiter: SlotWaiter, refusal: Refusal) -> None:
         self._unqueue(waiter)
         self._count_refusal(waiter.request, refusal)
         if not waiter.granted.done():
@@ -236,24 +236,24 @@
 
     def _expire(self) -> timedelta | None:
         now = self._clock.elapsed()
-        late = [
+        expired = [
             waiter
-            for waiter in self._queue.walk()
+            for waiter in self._queue.iter_waiters()
             if waiter.request.deadline <= now
         ]
-        for waiter in sorted(late, key=_find_deadline):
-            self._drop(waiter, _refuse_late())
-        return min(map(_find_deadline, self._queue.walk()), default=None)
+        for waiter in sorted(expired, key=_get_deadline):
+            self._reject(waiter, _refuse_expired())
+        return min(map(_get_deadline, self._queue.iter_waiters()), default=None)
 
-    def _show_queue(self, key: LoadKey) -> None:
+    def _publish_queue_length(self, key: LoadKey) -> None:
         self._counters.set(
             'queue_length',
             self._queue.count(key),
             traffic_class=key.traffic_class.value,
-            client_account=self._names.get(key.account_id, 'other'),
+            client_account=self._account_names.get(key.account_id, 'other'),
         )
 
-    def _show_running(self, upstream: str) -> None:
+    def _publish_running(self, upstream: str) -> None:
         self._counters.set(
             'slots_running', self.running(upstream), upstream=upstream
         )
@@ -266,16 +266,16 @@
         )
 
 
-def make_key(client_account: str, traffic_class: TrafficClass) -> LoadKey:
+def make_load_key(client_account: str, traffic_class: TrafficClass) -> LoadKey:
     """Name the queue of an account's requests."""
     return LoadKey(traffic_class, hash_name(client_account))
 
 
-def _find_deadline(waiter: SlotWaiter) -> timedelta:
+def _get_deadline(waiter: SlotWaiter) -> timedelta:
     return waiter.request.deadline
 
 
-def _refuse_late() -> Refusal:
+def _refuse_expired() -> Refusal:
     return Refusal(
         RefusalCode.deadline_exceeded,
         'No slot became free before the deadline.',
@@ -284,11 +284,11 @@
     )
 
 
-def _refuse_full() -> Refusal:
+def _refuse_queue_full() -> Refusal:
     return Refusal(
         RefusalCode.overloaded,
         'Too many requests wait for a slot.',
         not_run=True,
-        retry_after=OVERLOAD_RETRY,
+        retry_after=OVERLOAD_RETRY_AFTER,
         step='wait for a slot',
     )
--- a/quetzalcourse/coordination/slots/deadline_timer.py
+++ b/quetzalcourse/coordination/slots/deadline_timer.py
@@ -11,7 +11,7 @@
 
     from quetzalcourse.state.clock import Clock
 
-SHORTEST_PAUSE = timedelta(milliseconds=10)
+MIN_SLEEP = timedelta(milliseconds=10)
 
 
 class DeadlineTimer:
@@ -30,15 +30,15 @@
         self._clock = clock
         self._expire = expire
         self._task: asyncio.Task[None] | None = None
-        self._next = timedelta.max
+        self._next_deadline = timedelta.max
 
     def add(self, deadline: timedelta) -> None:
         """Wake up at a deadline unless an earlier one is awaited."""
         if self._task is not None and not self._task.done():
-            if deadline >= self._next:
+            if deadline >= self._next_deadline:
                 return
             self._task.cancel()
-        self._next = deadline
+        self._next_deadline = deadline
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._run())
 
@@ -49,9 +49,9 @@
 
     async def _run(self) -> None:
         while True:
-            pause = self._next - self._clock.elapsed()
-            await self._clock.sleep(max(pause, SHORTEST_PAUSE))
-            following = self._expire()
-            if following is None:
+            delay = self._next_deadline - self._clock.elapsed()
+            await self._clock.sleep(max(delay, MIN_SLEEP))
+            next_deadline = self._expire()
+            if next_deadline is None:
                 return
-            self._next = following
+            self._next_deadline = next_deadline
--- a/quetzalcourse/coordination/slots/decayed_token_counts.py
+++ b/quetzalcourse/coordination/slots/decayed_token_counts.py
@@ -12,8 +12,8 @@
     from quetzalcourse.state.slots import LoadKey
 
 HALF_LIFE = timedelta(seconds=30)
-LARGEST_AGE = 60
-LEAST = 0.000001
+MAX_AGE_IN_HALF_LIVES = 60
+MIN_KEPT_AMOUNT = 0.000001
 
 
 class DecayedTokenCounts:
@@ -26,16 +26,16 @@
     def __init__(self) -> None:
         """Begin with nothing served."""
         self._sums: dict[LoadKey, float] = defaultdict(float)
-        self._begin: timedelta | None = None
+        self._reference_time: timedelta | None = None
 
     def add(self, key: LoadKey, tokens: int, now: timedelta) -> None:
         """Count tokens that an account got."""
         if not tokens:
             return
-        if self._begin is None:
-            self._begin = now
-        age = (now - self._begin) / HALF_LIFE
-        if age > LARGEST_AGE:
+        if self._reference_time is None:
+            self._reference_time = now
+        age = (now - self._reference_time) / HALF_LIFE
+        if age > MAX_AGE_IN_HALF_LIVES:
             self._rescale(age, now)
             age = 0
         self._sums[key] += tokens * 2**age
@@ -46,9 +46,11 @@
 
     def _rescale(self, age: float, now: timedelta) -> None:
         # Scaled up for hours, the sums would overflow.
-        self._begin = now
+        self._reference_time = now
         scaled = {key: amount / 2**age for key, amount in self._sums.items()}
         self._sums.clear()
         self._sums.update(
-            (key, amount) for key, amount in scaled.items() if amount > LEAST
+            (key, amount)
+            for key, amount in scaled.items()
+            if amount > MIN_KEPT_AMOUNT
         )
--- a/quetzalcourse/coordination/slots/distributed_slot_policy.py
+++ b/quetzalcourse/coordination/slots/distributed_slot_policy.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.coordination.slots.upstream_choice import (
-    PATIENCE,
+    ASK_INTERVALS,
     choose_upstream,
-    is_due,
+    is_next_ask_due,
 )
 from quetzalcourse.coordination.slots.owned_slots import (
-    Answers,
+    AllowancesByRequester,
     OwnedSlots,
-    list_fallback,
+    list_fallback_shares,
 )
 from quetzalcourse.coordination.slots.ownership import find_owner, hash_name
 from quetzalcourse.coordination.slots.local_slot_state import LocalSlotState
@@ -63,17 +63,17 @@
         self._terms = terms or SlotTerms()
         self.owned = OwnedSlots(members.own, self._terms)
         self._upstreams: dict[str, Upstream] = {}
-        self._usages: dict[str, LocalSlotState] = {}
+        self._slot_states: dict[str, LocalSlotState] = {}
         self._waiters: dict[int, SlotWaiter] = {}
-        self._humans: dict[int, SlotWaiter] = {}
-        self._due: set[str] = set()
+        self._human_waiters: dict[int, SlotWaiter] = {}
+        self._pending_reports: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._batching = False
-        self._hurrying = False
+        self._flush_scheduled = False
+        self._retrying = False
         self._stopped = False
         self._on_free: Callable[[str], None] = _ignore
         self._on_revoked: Callable[[str, int], None] = _ignore
-        link.subscribe(self._take_reports, self._take_allowances)
+        link.subscribe(self._on_reports, self._on_allowances)
         members.on_change(self.on_members)
 
     def listen(
@@ -112,104 +112,111 @@
         now = self._clock.elapsed()
         own = self._members.own
         self.owned.on_members(self._members.list_live(own.data_centre), now)
-        for usage in self._usages.values():
-            if self._place(usage, now) and not usage.is_idle(now):
-                self._schedule(usage.upstream)
+        for state in self._slot_states.values():
+            if self._update_owner(state, now) and not state.is_idle(now):
+                self._schedule_report(state.upstream)
 
     def may_start(self, upstream: str, traffic_class: TrafficClass) -> bool:
         """Tell whether one more request may run on an upstream."""
-        usage = self._usages.get(upstream)
-        if usage is None or upstream not in self._upstreams:
+        state = self._slot_states.get(upstream)
+        if state is None or upstream not in self._upstreams:
             return False
-        return usage.may_start(traffic_class, self._clock.elapsed())
+        return state.may_start(traffic_class, self._clock.elapsed())
 
     def on_started(self, upstream: str, key: LoadKey) -> None:
         """Count a request that begins to run."""
-        self._find_usage(upstream).on_started(key, self._clock.elapsed())
+        self._get_slot_state(upstream).on_started(key, self._clock.elapsed())
 
     def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
         """Count a request that runs no more."""
-        usage = self._find_usage(upstream)
-        usage.on_released(key, tokens)
+        state = self._get_slot_state(upstream)
+        state.on_released(key, tokens)
         loop = asyncio.get_running_loop()
-        loop.call_soon(self._offer, usage)
+        loop.call_soon(self._report_idle_slots, state)
 
     def on_queued(self, waiter: SlotWaiter) -> None:
         """Ask an owner for a request for which there was no room."""
         self._waiters[waiter.order] = waiter
-        self._ask(waiter)
+        self._ask_next_owner(waiter)
         if waiter.key.traffic_class is TrafficClass.human:
-            self._humans[waiter.order] = waiter
-            if not (self._hurrying or self._stopped):
-                self._hurrying = True
-                self._spawn(self._hurry())
+            self._human_waiters[waiter.order] = waiter
+            if not (self._retrying or self._stopped):
+                self._retrying = True
+                self._spawn(self._retry_for_humans())
 
     def on_unqueued(self, waiter: SlotWaiter) -> None:
         """Ask no more for a request that waits no more."""
         self._waiters.pop(waiter.order, None)
-        self._humans.pop(waiter.order, None)
+        self._human_waiters.pop(waiter.order, None)
         for name in waiter.asked:
-            usage = self._find_usage(name)
-            times = usage.waiting[waiter.key]
+            state = self._get_slot_state(name)
+            times = state.waiting[waiter.key]
             times.pop(waiter.order)
             if not times:
-                usage.waiting.pop(waiter.key)
+                state.waiting.pop(waiter.key)
 
-    def _ask(self, waiter: SlotWaiter) -> None:
+    def _ask_next_owner(self, waiter: SlotWaiter) -> None:
         name = choose_upstream(
-            waiter, self._upstreams, self._members.own, self._find_usage
+            waiter, self._upstreams, self._members.own, self._get_slot_state
         )
         if name is None:
             return
         waiter.asked.append(name)
-        times = self._find_usage(name).waiting.setdefault(waiter.key, {})
+        times = self._get_slot_state(name).waiting.setdefault(waiter.key, {})
         times[waiter.order] = waiter.queued
         if waiter.key.traffic_class is TrafficClass.human:
             self._report((name,))
         else:
-            self._schedule(name)
+            self._schedule_report(name)
 
-    def _offer(self, usage: LocalSlotState) -> None:
+    def _report_idle_slots(self, state: LocalSlotState) -> None:
         # Runs after the slot could be used again here: what is still idle
         # then is what others may be waiting for.
         now = self._clock.elapsed()
-        missed = usage.is_missed(now)
-        if usage.is_lowered(now) or (missed and usage.count_revoked(now)):
-            self._report((usage.upstream,))
-        elif missed:
-            self._schedule(usage.upstream)
-
-    def _schedule(self, upstream: str) -> None:
-        if self._find_usage(upstream).owner == self._members.own.incarnation:
+        wanted = state.has_wanted_idle_slots(now)
+        if state.must_confirm_reduction(now) or (
+            wanted and state.count_revoked(now)
+        ):
+            self._report((state.upstream,))
+        elif wanted:
+            self._schedule_report(state.upstream)
+
+    def _schedule_report(self, upstream: str) -> None:
+        if (
+            self._get_slot_state(upstream).owner
+            == self._members.own.incarnation
+        ):
             self._report((upstream,))
             return
-        self._due.add(upstream)
-        if not (self._batching or self._stopped):
-            self._batching = True
+        self._pending_reports.add(upstream)
+        if not (self._flush_scheduled or self._stopped):
+            self._flush_scheduled = True
             self._spawn(self._flush())
 
     async def _flush(self) -> None:
         await self._clock.sleep(self._terms.batch)
-        self._batching = False
-        due = tuple(sorted(self._due))
-        self._due.clear()
+        self._flush_scheduled = False
+        due = tuple(sorted(self._pending_reports))
+        self._pending_reports.clear()
         self._report(due)
 
-    async def _hurry(self) -> None:
-        while self._humans:
-            await self._clock.sleep(PATIENCE[TrafficClass.human])
-            self._repeat_unanswered(self._clock.elapsed())
-        self._hurrying = False
+    async def _retry_for_humans(self) -> None:
+        while self._human_waiters:
+            await self._clock.sleep(ASK_INTERVALS[TrafficClass.human])
+            self._resend_unanswered(self._clock.elapsed())
+        self._retrying = False
 
-    def _repeat_unanswered(self, now: timedelta) -> None:
+    def _resend_unanswered(self, now: timedelta) -> None:
         # A report or its answer was lost. The next renewal would repeat it,
         # but until then a human waits beside slots that are free.
         names = {
-            name for waiter in self._humans.values() for name in waiter.asked
+            name
+            for waiter in self._human_waiters.values()
+            for name in waiter.asked
         }
-        usages = [self._find_usage(name) for name in sorted(names)]
+        states = [self._get_slot_state(name) for name in sorted(names)]
         self._report(
-            [usage.upstream for usage in usages if usage.is_unanswered(now)]
+            [state.upstream for state in states if state.is_unanswered(now)]
         )
 
     async def _renew(self) -> None:
@@ -220,32 +227,32 @@
     def on_tick(self) -> None:
         """Renew what is old, ask further owners and see what lapsed."""
         now = self._clock.elapsed()
-        old = [
-            usage.upstream
-            for usage in self._usages.values()
-            if now - usage.reported >= self._terms.renewal
-            and not usage.is_idle(now)
+        stale = [
+            state.upstream
+            for state in self._slot_states.values()
+            if now - state.reported_at >= self._terms.renewal
+            and not state.is_idle(now)
         ]
-        self._report(old)
-        self._deliver(self.owned.decide_all(now))
+        self._report(stale)
+        self._send_allowances(self.owned.decide_all(now))
         for waiter in tuple(self._waiters.values()):
-            if is_due(waiter, now):
-                self._ask(waiter)
-        for usage in tuple(self._usages.values()):
-            revoked = usage.count_revoked(now)
+            if is_next_ask_due(waiter, now):
+                self._ask_next_owner(waiter)
+        for state in tuple(self._slot_states.values()):
+            revoked = state.count_revoked(now)
             if revoked:
-                self._on_revoked(usage.upstream, revoked)
-            if usage.waiting:
-                self._on_free(usage.upstream)
+                self._on_revoked(state.upstream, revoked)
+            if state.waiting:
+                self._on_free(state.upstream)
 
     def _report(self, names: Iterable[str]) -> None:
         now = self._clock.elapsed()
         batches: dict[str, list[SlotReport]] = defaultdict(list)
         for name in names:
-            usage = self._find_usage(name)
-            self._due.discard(name)
-            if usage.owner:
-                batches[usage.owner].append(usage.make_report(now))
+            state = self._get_slot_state(name)
+            self._pending_reports.discard(name)
+            if state.owner:
+                batches[state.owner].append(state.make_report(now))
         for owner, reports in batches.items():
             self._send_reports(owner, reports, now)
 
@@ -256,64 +263,66 @@
         now: timedelta,
     ) -> None:
         if owner == self._members.own.incarnation:
-            self._deliver(self.owned.on_reports(owner, reports, now))
+            self._send_allowances(self.owned.on_reports(owner, reports, now))
             return
         member = self._find_member(owner)
         if member is not None:
             self._link.send_reports(member, tuple(reports))
 
-    def _take_reports(
+    def _on_reports(
         self,
         sender: Member,
         reports: tuple[SlotReport, ...],
     ) -> None:
         now = self._clock.elapsed()
-        self._deliver(self.owned.on_reports(sender.incarnation, reports, now))
+        self._send_allowances(
+            self.owned.on_reports(sender.incarnation, reports, now)
+        )
 
-    def _deliver(self, answers: Answers) -> None:
+    def _send_allowances(self, answers: AllowancesByRequester) -> None:
         own = self._members.own
         for name, allowances in answers.items():
             if name == own.incarnation:
-                self._take_allowances(own, tuple(allowances))
+                self._on_allowances(own, tuple(allowances))
                 continue
             member = self._find_member(name)
             if member is not None:
                 self._link.send_allowances(member, tuple(allowances))
 
-    def _take_allowances(
+    def _on_allowances(
         self,
         sender: Member,
         allowances: tuple[Allowance, ...],
     ) -> None:
         now = self._clock.elapsed()
         for allowance in allowances:
-            usage = self._usages.get(allowance.upstream)
-            if usage is None or usage.owner != sender.incarnation:
+            state = self._slot_states.get(allowance.upstream)
+            if state is None or state.owner != sender.incarnation:
                 continue
-            if not usage.on_allowance(allowance, now):
+            if not state.on_allowance(allowance, now):
                 continue
-            self._on_revoked(usage.upstream, usage.count_revoked(now))
-            self._on_free(usage.upstream)
-            self._offer(usage)
-
-    def _find_usage(self, upstream: str) -> LocalSlotState:
-        usage = self._usages.get(upstream)
-        if usage is None:
-            usage = LocalSlotState(upstream, self._terms)
-            self._usages[upstream] = usage
-            self._place(usage, self._clock.elapsed())
-        return usage
-
-    def _place(self, usage: LocalSlotState, now: timedelta) -> bool:
-        upstream = self._upstreams.get(usage.upstream)
+            self._on_revoked(state.upstream, state.count_revoked(now))
+            self._on_free(state.upstream)
+            self._report_idle_slots(state)
+
+    def _get_slot_state(self, upstream: str) -> LocalSlotState:
+        state = self._slot_states.get(upstream)
+        if state is None:
+            state = LocalSlotState(upstream, self._terms)
+            self._slot_states[upstream] = state
+            self._update_owner(state, self._clock.elapsed())
+        return state
+
+    def _update_owner(self, state: LocalSlotState, now: timedelta) -> bool:
+        upstream = self._upstreams.get(state.upstream)
         if upstream is None:
-            return usage.follow_owner('', 0, now)
+            return state.update_owner('', 0, now)
         members = self._members.list_live(upstream.data_centre)
         owner = find_owner(upstream.name, members)
-        shares = list_fallback(upstream, members)
+        shares = list_fallback_shares(upstream, members)
         own = self._members.own.incarnation
         name = owner.incarnation if owner is not None else ''
-        return usage.follow_owner(name, shares.get(own, 0), now)
+        return state.update_owner(name, shares.get(own, 0), now)
 
     def _find_member(self, incarnation: str) -> Member | None:
         for member in self._members.list_live():
@@ -321,8 +330,8 @@
                 return member
         return None
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/quetzalcourse/coordination/slots/engine_load_monitor.py
+++ b/quetzalcourse/coordination/slots/engine_load_monitor.py
@@ -17,7 +17,7 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import Manifest
 
-LOAD_INTERVAL = timedelta(seconds=1)
+LOAD_POLL_INTERVAL = timedelta(seconds=1)
 
 
 class EngineLoadMonitor:
@@ -48,7 +48,7 @@
     async def run(self) -> None:
         """Ask again and again until cancelled."""
         while True:
-            await self._clock.sleep(LOAD_INTERVAL)
+            await self._clock.sleep(LOAD_POLL_INTERVAL)
             await self.observe()
 
     async def observe(self) -> None:
--- a/quetzalcourse/coordination/slots/fair_queue.py
+++ b/quetzalcourse/coordination/slots/fair_queue.py
@@ -12,8 +12,8 @@
 
     from quetzalcourse.state.slots import LoadKey, SlotWaiter
 
-Line = dict[int, 'SlotWaiter']
-LEARNING_RATE = 0.2
+WaitersByOrder = dict[int, 'SlotWaiter']
+COST_SMOOTHING = 0.2
 
 
 class FairQueue:
@@ -28,10 +28,10 @@
     def __init__(self) -> None:
         """Begin empty."""
         self.weights: Mapping[int, float] = {}
-        self._lines: dict[LoadKey, dict[frozenset[str], Line]] = {}
-        self._times: dict[LoadKey, float] = {}
-        self._averages: dict[LoadKey, float] = {}
-        self._newest: dict[TrafficClass, float] = {}
+        self._queues: dict[LoadKey, dict[frozenset[str], WaitersByOrder]] = {}
+        self._finish_tags: dict[LoadKey, float] = {}
+        self._average_costs: dict[LoadKey, float] = {}
+        self._virtual_times: dict[TrafficClass, float] = {}
         self._lengths: Counter[LoadKey] = Counter()
 
     def __len__(self) -> int:
@@ -44,9 +44,9 @@
 
     def push(self, waiter: SlotWaiter) -> None:
         """Add a request behind the others of its account."""
-        lines = self._lines.setdefault(waiter.key, {})
-        names = frozenset(waiter.request.candidates)
-        lines.setdefault(names, {})[waiter.order] = waiter
+        queues = self._queues.setdefault(waiter.key, {})
+        candidates = frozenset(waiter.request.candidates)
+        queues.setdefault(candidates, {})[waiter.order] = waiter
         self._lengths[waiter.key] += 1
 
     def remove(self, waiter: SlotWaiter) -> bool:
@@ -54,16 +54,16 @@
 
         :returns: whether it was still there.
         """
-        lines = self._lines.get(waiter.key, {})
-        names = frozenset(waiter.request.candidates)
-        line = lines.get(names, {})
-        if line.pop(waiter.order, None) is None:
+        queues = self._queues.get(waiter.key, {})
+        candidates = frozenset(waiter.request.candidates)
+        queue = queues.get(candidates, {})
+        if queue.pop(waiter.order, None) is None:
             return False
         self._lengths[waiter.key] -= 1
-        if not line:
-            lines.pop(names)
-        if not lines:
-            self._lines.pop(waiter.key)
+        if not queue:
+            queues.pop(candidates)
+        if not queues:
+            self._queues.pop(waiter.key)
             self._lengths.pop(waiter.key)
         return True
 
@@ -74,13 +74,13 @@
     ) -> SlotWaiter | None:
         """Find the request that an upstream should run next."""
         keys = [
-            key for key in self._lines if key.traffic_class is traffic_class
+            key for key in self._queues if key.traffic_class is traffic_class
         ]
-        for key in sorted(keys, key=self._find_start):
+        for key in sorted(keys, key=self._compute_start_tag):
             heads = [
-                next(iter(line.values()))
-                for names, line in self._lines[key].items()
-                if upstream in names
+                next(iter(queue.values()))
+                for candidates, queue in self._queues[key].items()
+                if upstream in candidates
             ]
             if heads:
                 return min(heads, key=lambda waiter: waiter.order)
@@ -91,10 +91,10 @@
 
         :returns: how many tokens were charged.
         """
-        start = self._find_start(key)
-        self._newest[key.traffic_class] = start
-        estimate = self._averages.get(key, 1.0)
-        self._times[key] = start + estimate / self._weigh(key)
+        start = self._compute_start_tag(key)
+        self._virtual_times[key.traffic_class] = start
+        estimate = self._average_costs.get(key, 1.0)
+        self._finish_tags[key] = start + estimate / self._get_weight(key)
         return estimate
 
     def charge_end(self, key: LoadKey, charged: float, tokens: int) -> None:
@@ -103,15 +103,15 @@
         :param charged: what :meth:`charge_start` charged for it.
         """
         cost = max(float(tokens), 1.0)
-        average = self._averages.get(key, cost)
-        self._averages[key] = average + LEARNING_RATE * (cost - average)
-        difference = (cost - charged) / self._weigh(key)
-        self._times[key] = self._times.get(key, 0.0) + difference
+        average = self._average_costs.get(key, cost)
+        self._average_costs[key] = average + COST_SMOOTHING * (cost - average)
+        difference = (cost - charged) / self._get_weight(key)
+        self._finish_tags[key] = self._finish_tags.get(key, 0.0) + difference
 
-    def walk(self) -> Iterator[SlotWaiter]:
+    def iter_waiters(self) -> Iterator[SlotWaiter]:
         """Visit every request that waits."""
-        for key in self._lines:
-            yield from self._walk_account(key)
+        for key in self._queues:
+            yield from self._iter_account(key)
 
     def choose_victim(self) -> SlotWaiter:
         """Choose the request to give up when the queue is full.
@@ -122,27 +122,27 @@
         """
         training = [
             key
-            for key in self._lines
+            for key in self._queues
             if key.traffic_class is TrafficClass.training
         ]
         longest = max(
-            training or self._lines,
-            key=lambda key: self._lengths[key] / self._weigh(key),
+            training or self._queues,
+            key=lambda key: self._lengths[key] / self._get_weight(key),
         )
         return min(
-            self._walk_account(longest),
+            self._iter_account(longest),
             key=lambda waiter: (waiter.request.deadline, waiter.order),
         )
 
-    def _walk_account(self, key: LoadKey) -> Iterator[SlotWaiter]:
-        for line in self._lines[key].values():
-            yield from line.values()
+    def _iter_account(self, key: LoadKey) -> Iterator[SlotWaiter]:
+        for queue in self._queues[key].values():
+            yield from queue.values()
 
-    def _find_start(self, key: LoadKey) -> float:
+    def _compute_start_tag(self, key: LoadKey) -> float:
         # An account that was idle begins beside the others: credit for the
         # time before would let it hold all slots when it comes back.
-        newest = self._newest.get(key.traffic_class, 0.0)
-        return max(self._times.get(key, 0.0), newest)
+        virtual_time = self._virtual_times.get(key.traffic_class, 0.0)
+        return max(self._finish_tags.get(key, 0.0), virtual_time)
 
-    def _weigh(self, key: LoadKey) -> float:
+    def _get_weight(self, key: LoadKey) -> float:
         return self.weights.get(key.account_id, 1.0)
--- a/quetzalcourse/coordination/slots/fair_share.py
+++ b/quetzalcourse/coordination/slots/fair_share.py
@@ -14,9 +14,9 @@
 
     from quetzalcourse.state.slots import LoadKey
 
-Name = TypeVar('Name')
-MIN_FACTOR = 0.5
-MAX_FACTOR = 2.0
+Key = TypeVar('Key')
+MIN_WEIGHT_FACTOR = 0.5
+MAX_WEIGHT_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,23 +57,23 @@
     weights: Mapping[int, float] = field(default_factory=dict)
     served: Mapping[LoadKey, float] = field(default_factory=dict)
 
-    def weigh(self, key: LoadKey) -> float:
+    def get_weight(self, key: LoadKey) -> float:
         """Tell the weight of an account."""
         return self.weights.get(key.account_id, 1.0)
 
 
-def fill_fairly(
+def allocate_max_min(
     capacity: float,
-    wanted: Mapping[Name, int],
-    weights: Mapping[Name, float],
-) -> dict[Name, float]:
+    wanted: Mapping[Key, int],
+    weights: Mapping[Key, float],
+) -> dict[Key, float]:
     """Share a capacity by weight; nobody gets more than it wants.
 
     :param capacity: how much there is.
     :param wanted: most that each can use.
     :param weights: claim of each on what is scarce.
     """
-    shares: dict[Name, float] = {}
+    shares: dict[Key, float] = {}
     left = dict(wanted)
     while left:
         total = sum(weights[name] for name in left)
@@ -90,10 +90,10 @@
 
 
 def round_shares(
-    shares: Mapping[Name, float],
-    wanted: Mapping[Name, int],
-    order: Mapping[Name, float],
-) -> dict[Name, int]:
+    shares: Mapping[Key, float],
+    wanted: Mapping[Key, int],
+    order: Mapping[Key, float],
+) -> dict[Key, int]:
     """Round shares to whole slots without changing their sum.
 
     :param order: who gets the slots that are left, lowest first.
@@ -110,7 +110,7 @@
 def divide_slots(
     slots: int,
     headroom: int,
-    claims: list[AccountDemand],
+    demands: list[AccountDemand],
     accounts: FairnessState,
 ) -> dict[str, SlotTarget]:
     """Say how many slots each daemon should have.
@@ -121,11 +121,11 @@
     :param headroom: slots that training leaves free.
     """
     targets: dict[str, SlotTarget] = defaultdict(SlotTarget)
-    humans = _select(claims, TrafficClass.human)
+    humans = _select(demands, TrafficClass.human)
     for requester, human in _divide_class(slots, humans, accounts).items():
         targets[requester].human = human
     used = sum(target.human for target in targets.values())
-    training = _select(claims, TrafficClass.training)
+    training = _select(demands, TrafficClass.training)
     capacity = max(slots - used - headroom, 0)
     divided = _divide_class(capacity, training, accounts)
     for requester, count in divided.items():
@@ -134,32 +134,36 @@
 
 
 def _select(
-    claims: list[AccountDemand], traffic_class: TrafficClass
+    demands: list[AccountDemand], traffic_class: TrafficClass
 ) -> list[AccountDemand]:
     return [
-        claim for claim in claims if claim.key.traffic_class is traffic_class
+        demand
+        for demand in demands
+        if demand.key.traffic_class is traffic_class
     ]
 
 
 def _divide_class(
     capacity: int,
-    claims: list[AccountDemand],
+    demands: list[AccountDemand],
     accounts: FairnessState,
 ) -> dict[str, int]:
     by_account: dict[LoadKey, list[AccountDemand]] = defaultdict(list)
-    for claim in claims:
-        by_account[claim.key].append(claim)
+    for demand in demands:
+        by_account[demand.key].append(demand)
     wanted = {
-        key: sum(claim.wanted for claim in group)
+        key: sum(demand.wanted for demand in group)
         for key, group in by_account.items()
     }
     if sum(wanted.values()) <= capacity:
-        seats = wanted
+        slots_by_account = wanted
     else:
-        seats = _divide_accounts(capacity, wanted, accounts)
+        slots_by_account = _divide_accounts(capacity, wanted, accounts)
     totals: dict[str, int] = defaultdict(int)
     for account, group in by_account.items():
-        for requester, count in _divide_daemons(seats[account], group).items():
+        for requester, count in _divide_daemons(
+            slots_by_account[account], group
+        ).items():
             totals[requester] += count
     return totals
 
@@ -170,12 +174,12 @@
     accounts: FairnessState,
 ) -> dict[LoadKey, int]:
     weights = _correct_weights(wanted, accounts)
-    shares = fill_fairly(capacity, wanted, weights)
-    debts = {
-        key: accounts.served.get(key, 0.0) / accounts.weigh(key)
+    shares = allocate_max_min(capacity, wanted, weights)
+    weighted_service = {
+        key: accounts.served.get(key, 0.0) / accounts.get_weight(key)
         for key in wanted
     }
-    return round_shares(shares, wanted, debts)
+    return round_shares(shares, wanted, weighted_service)
 
 
 def _correct_weights(
@@ -185,30 +189,35 @@
     # A slot makes fewer tokens for an account whose prompts are long, so
     # equal slots are not equal tokens. Whoever got less than its share of
     # the recent tokens weighs more until it has caught up.
-    weights = {key: accounts.weigh(key) for key in wanted}
+    weights = {key: accounts.get_weight(key) for key in wanted}
     served = sum(accounts.served.get(key, 0.0) for key in wanted)
     if not served:
         return weights
     scale = served / sum(weights.values())
     return {
-        key: weight * _find_factor(accounts.served.get(key, 0.0), weight, scale)
+        key: weight
+        * _compute_factor(accounts.served.get(key, 0.0), weight, scale)
         for key, weight in weights.items()
     }
 
 
-def _find_factor(served: float, weight: float, scale: float) -> float:
+def _compute_factor(served: float, weight: float, scale: float) -> float:
     if served <= 0:
-        return MAX_FACTOR
-    return min(max(weight * scale / served, MIN_FACTOR), MAX_FACTOR)
+        return MAX_WEIGHT_FACTOR
+    return min(
+        max(weight * scale / served, MIN_WEIGHT_FACTOR), MAX_WEIGHT_FACTOR
+    )
 
 
-def _divide_daemons(seats: int, group: list[AccountDemand]) -> dict[str, int]:
-    wanted = {claim.requester: claim.wanted for claim in group}
+def _divide_daemons(slots: int, group: list[AccountDemand]) -> dict[str, int]:
+    wanted = {demand.requester: demand.wanted for demand in group}
     total = sum(wanted.values())
-    if seats >= total:
+    if slots >= total:
         return wanted
-    shares = {name: seats * count / total for name, count in wanted.items()}
+    shares = {name: slots * count / total for name, count in wanted.items()}
     # With fewer slots than daemons the one whose request has waited longest
     # is next; without that a daemon that keeps its slot busy would keep it.
-    ages = {claim.requester: -claim.oldest.total_seconds() for claim in group}
+    ages = {
+        demand.requester: -demand.oldest.total_seconds() for demand in group
+    }
     return round_shares(shares, wanted, ages)
--- a/quetzalcourse/coordination/slots/owned_slots.py
+++ b/quetzalcourse/coordination/slots/owned_slots.py
@@ -21,7 +21,7 @@
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.slots import SlotReport, SlotTerms
 
-Answers = dict[str, list[Allowance]]
+AllowancesByRequester = dict[str, list[Allowance]]
 
 
 class OwnedSlots:
@@ -37,7 +37,7 @@
         self._upstreams: dict[str, Upstream] = {}
         self._weights: Mapping[int, float] = {}
         self._owners: dict[str, SlotOwner] = {}
-        self._live: set[str] = set()
+        self._live_incarnations: set[str] = set()
 
     def names(self) -> tuple[str, ...]:
         """Name the upstreams that are owned here."""
@@ -73,24 +73,24 @@
             if owner is None or owner.incarnation != self._own.incarnation:
                 self._owners.pop(name, None)
                 continue
-            shares = list_fallback(upstream, members)
+            shares = list_fallback_shares(upstream, members)
             if name not in self._owners:
                 self._owners[name] = SlotOwner(
-                    upstream, self._terms, self._find_settled(now), shares
+                    upstream, self._terms, self._find_takeover_end(now), shares
                 )
             self._owners[name].on_manifest(upstream, self._weights)
             self._owners[name].on_members(shares)
         for name in tuple(self._owners):
             if name not in self._upstreams:
                 self._owners.pop(name)
-        self._live = {member.incarnation for member in members}
+        self._live_incarnations = {member.incarnation for member in members}
 
     def on_reports(
         self,
         sender: str,
         reports: Iterable[SlotReport],
         now: timedelta,
-    ) -> Answers:
+    ) -> AllowancesByRequester:
         """Take a daemon's reports.
 
         A report on an upstream that is not owned here gets no answer: its
@@ -98,7 +98,7 @@
 
         :returns: allowances to send, by incarnation.
         """
-        answers: Answers = defaultdict(list)
+        answers: AllowancesByRequester = defaultdict(list)
         for report in reports:
             owner = self._owners.get(report.upstream)
             if owner is None or not owner.on_report(sender, report, now):
@@ -108,26 +108,26 @@
                 answers[name].append(allowance)
         return answers
 
-    def decide_all(self, now: timedelta) -> Answers:
+    def decide_all(self, now: timedelta) -> AllowancesByRequester:
         """Divide the slots anew where allowances have lapsed.
 
         :returns: allowances to send, by incarnation.
         """
-        answers: Answers = defaultdict(list)
+        answers: AllowancesByRequester = defaultdict(list)
         for owner in self._owners.values():
             for name, allowance in owner.decide(now).items():
                 answers[name].append(allowance)
         return answers
 
-    def _find_settled(self, now: timedelta) -> timedelta:
+    def _find_takeover_end(self, now: timedelta) -> timedelta:
         # Nobody but this daemon was ever seen here, so nobody holds an
         # allowance; waiting would only delay the first request.
-        if self._live <= {self._own.incarnation}:
+        if self._live_incarnations <= {self._own.incarnation}:
             return now
         return now + self._terms.term
 
 
-def list_fallback(
+def list_fallback_shares(
     upstream: Upstream,
     members: list[Member],
 ) -> dict[str, int]:
--- a/quetzalcourse/coordination/slots/requester_state.py
+++ b/quetzalcourse/coordination/slots/requester_state.py
@@ -14,20 +14,20 @@
     from quetzalcourse.coordination.slots.fair_share import SlotTarget
 
 NEVER = timedelta(days=-1)
-RENEWAL_PART = 0.75
+ANSWER_INTERVAL_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
-class _Promise:
+class _SentAllowance:
     """Allowance that the daemon may be using.
 
-    :param lapses: when it can't be in use any more.
+    :param expires_at: when it can't be in use any more.
     """
 
     number: int
     total: int
     training: int
-    lapses: timedelta
+    expires_at: timedelta
 
 
 @dataclass(slots=True)
@@ -35,19 +35,19 @@
     """One daemon's reports and the allowances that were sent to it.
 
     :param name: incarnation of the daemon.
-    :param heard: when its last report came.
-    :param answered: when the last allowance was sent to it.
+    :param reported_at: when its last report came.
+    :param answered_at: when the last allowance was sent to it.
     """
 
     name: str
     report: SlotReport
-    heard: timedelta
+    reported_at: timedelta
     current: Allowance
-    promises: list[_Promise] = field(default_factory=list)
-    answered: timedelta = NEVER
+    sent_allowances: list[_SentAllowance] = field(default_factory=list)
+    answered_at: timedelta = NEVER
 
     @classmethod
-    def meet(
+    def from_first_report(
         cls,
         name: str,
         report: SlotReport,
@@ -66,10 +66,10 @@
             report.held - report.held_training,
             report.held_training,
         )
-        promise = _Promise(
+        sent = _SentAllowance(
             report.applied, report.held, report.held_training, now + term
         )
-        return cls(name, report, now, held, [promise])
+        return cls(name, report, now, held, [sent])
 
     @property
     def running(self) -> int:
@@ -97,11 +97,11 @@
         if report.sequence <= self.report.sequence:
             return False
         self.report = report
-        self.heard = now
-        self.promises = [
-            promise
-            for promise in self.promises
-            if promise.number >= report.applied
+        self.reported_at = now
+        self.sent_allowances = [
+            sent
+            for sent in self.sent_allowances
+            if sent.number >= report.applied
         ]
         return True
 
@@ -112,35 +112,35 @@
         any allowance since the newest that it confirmed.
         """
         totals = [
-            promise.total for promise in self.promises if now < promise.lapses
+            sent.total for sent in self.sent_allowances if now < sent.expires_at
         ]
         return max(totals + [self.running])
 
     def count_committed_training(self, now: timedelta) -> int:
         """Count the slots that its training may be using."""
         counts = [
-            promise.training
-            for promise in self.promises
-            if now < promise.lapses
+            sent.training
+            for sent in self.sent_allowances
+            if now < sent.expires_at
         ]
         return max(counts + [self.count_running(TrafficClass.training)])
 
-    def list_claims(self, now: timedelta) -> list[AccountDemand]:
+    def list_demands(self, now: timedelta) -> list[AccountDemand]:
         """List what each account could use through this daemon."""
-        silent = now - self.heard
+        since_report = now - self.reported_at
         return [
             AccountDemand(
                 self.name,
                 load.key,
                 load.running + load.waiting,
-                load.oldest + silent if load.waiting else timedelta(0),
+                load.oldest + since_report if load.waiting else timedelta(0),
             )
             for load in self.report.loads
         ]
 
-    def awaits(
+    def needs_answer(
         self,
-        goal: SlotTarget,
+        target: SlotTarget,
         now: timedelta,
         renewal: timedelta,
     ) -> bool:
@@ -150,15 +150,15 @@
         end of the term, which the next renewal does as well.
         """
         current = self.current
-        if (goal.human, goal.training) != (current.human, current.training):
+        if (target.human, target.training) != (current.human, current.training):
             return True
         if self.report.applied < current.number:
             return True
         if self.count_waiting(TrafficClass.human):
             return True
-        return now - self.answered >= renewal * RENEWAL_PART
+        return now - self.answered_at >= renewal * ANSWER_INTERVAL_SHARE
 
-    def allow(
+    def make_allowance(
         self,
         target: SlotTarget,
         revoke: int,
@@ -180,12 +180,12 @@
             revoke,
             contended,
         )
-        self.promises.append(
-            _Promise(
+        self.sent_allowances.append(
+            _SentAllowance(
                 self.current.number,
                 target.total,
                 target.training,
-                self.heard + term,
+                self.reported_at + term,
             )
         )
         return self.current
--- a/quetzalcourse/coordination/slots/slot_owner.py
+++ b/quetzalcourse/coordination/slots/slot_owner.py
@@ -25,10 +25,10 @@
     from quetzalcourse.state.manifest import Upstream
     from quetzalcourse.state.slots import Allowance, SlotReport, SlotTerms
 
-OBSERVATION_WEIGHT = 0.5
-LOAD_LAG = timedelta(seconds=3)
-MAX_PEAKS = 1000
-ADVANCE_DIVISOR = 4
+FOREIGN_LOAD_SMOOTHING = 0.5
+LOAD_REPORT_LAG = timedelta(seconds=3)
+MAX_RECENT_COMMITMENTS = 1000
+EXTRA_TRAINING_DIVISOR = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,20 +48,23 @@
 
 
 @dataclass(slots=True)
-class _Room:
+class _Capacity:
     """Slots in all, and how many of them for training."""
 
     total: int
     training: int
 
     @classmethod
-    def read(cls, holder: RequesterState, now: timedelta) -> _Room:
+    def committed_by(
+        cls, requester: RequesterState, now: timedelta
+    ) -> _Capacity:
         """Read what a daemon may be using."""
         return cls(
-            holder.count_committed(now), holder.count_committed_training(now)
+            requester.count_committed(now),
+            requester.count_committed_training(now),
         )
 
-    def shrink(self, before: _Room, after: _Room) -> None:
+    def subtract(self, before: _Capacity, after: _Capacity) -> None:
         """Take off what a daemon was given."""
         self.total -= after.total - before.total
         self.training -= after.training - before.training
@@ -76,9 +79,9 @@
     they hold and get no more than their fallback share.
 
     :param upstream: the upstream, as the manifest describes it.
-    :param settles: time since boot until which an owner before this one
+    :param takeover_ends_at: time since boot until which an owner before
         may have allowances in use.
-    :param fallback: slots that a live daemon uses if no owner answers it,
+    :param fallback_shares: slots that a live daemon uses without an owner,
         by incarnation.
     """
 
@@ -86,18 +89,18 @@
         self,
         upstream: Upstream,
         terms: SlotTerms,
-        settles: timedelta,
-        fallback: Mapping[str, int],
+        takeover_ends_at: timedelta,
+        fallback_shares: Mapping[str, int],
     ) -> None:
         """Begin without reports."""
         self.foreign_slots = 0.0
         self._upstream = upstream
         self._terms = terms
-        self._settles = settles
-        self._fallback = fallback
-        self._holders: dict[str, RequesterState] = {}
-        self._ledger = DecayedTokenCounts()
-        self._peaks: list[tuple[timedelta, int]] = []
+        self._takeover_ends_at = takeover_ends_at
+        self._fallback_shares = fallback_shares
+        self._requesters: dict[str, RequesterState] = {}
+        self._token_counts = DecayedTokenCounts()
+        self._recent_commitments: list[tuple[timedelta, int]] = []
         self._weights: Mapping[int, float] = {}
 
     def on_manifest(
@@ -112,30 +115,30 @@
         self._upstream = upstream
         self._weights = weights
 
-    def on_members(self, fallback: Mapping[str, int]) -> None:
+    def on_members(self, fallback_shares: Mapping[str, int]) -> None:
         """Take the fallback shares of the daemons that are live now."""
-        self._fallback = fallback
+        self._fallback_shares = fallback_shares
 
     def on_report(
         self,
-        requester: str,
+        incarnation: str,
         report: SlotReport,
         now: timedelta,
     ) -> bool:
         """Take a daemon's report.
 
-        :param requester: incarnation of the daemon.
+        :param incarnation: incarnation of the daemon.
         :returns: whether it was newer than those before.
         """
-        holder = self._holders.get(requester)
-        if holder is None:
-            self._holders[requester] = RequesterState.meet(
-                requester, report, now, self._terms.term
+        requester = self._requesters.get(incarnation)
+        if requester is None:
+            self._requesters[incarnation] = RequesterState.from_first_report(
+                incarnation, report, now, self._terms.term
             )
-        elif not holder.accept(report, now):
+        elif not requester.accept(report, now):
             return False
         for load in report.loads:
-            self._ledger.add(load.key, load.tokens, now)
+            self._token_counts.add(load.key, load.tokens, now)
         return True
 
     def on_load(self, busy: int, now: timedelta) -> None:
@@ -149,24 +152,25 @@
 
         :param busy: requests that run or wait inside the engine.
         """
-        self._peaks = [
+        self._recent_commitments = [
             (at, committed)
-            for at, committed in self._peaks
-            if now - at <= LOAD_LAG
+            for at, committed in self._recent_commitments
+            if now - at <= LOAD_REPORT_LAG
         ]
-        self._peaks.append((now, self.count_committed(now)))
-        known = max(committed for _, committed in self._peaks)
+        self._recent_commitments.append((now, self.count_committed(now)))
+        known = max(committed for _, committed in self._recent_commitments)
         unknown = max(busy - known, 0)
-        self.foreign_slots += OBSERVATION_WEIGHT * (
+        self.foreign_slots += FOREIGN_LOAD_SMOOTHING * (
             unknown - self.foreign_slots
         )
-        if self.foreign_slots < OBSERVATION_WEIGHT:
+        if self.foreign_slots < FOREIGN_LOAD_SMOOTHING:
             self.foreign_slots = 0.0
 
     def count_committed(self, now: timedelta) -> int:
         """Count the slots that all daemons together may be using."""
         return sum(
-            holder.count_committed(now) for holder in self._holders.values()
+            requester.count_committed(now)
+            for requester in self._requesters.values()
         )
 
     def decide(
@@ -179,125 +183,135 @@
         :param reporters: daemons that wait for an answer in any case.
         :returns: allowances to send, by incarnation.
         """
-        self._drop_silent(now)
+        self._drop_expired_requesters(now)
         committed = self.count_committed(now)
-        self._peaks.append((now, committed))
-        del self._peaks[:-MAX_PEAKS]
+        self._recent_commitments.append((now, committed))
+        del self._recent_commitments[:-MAX_RECENT_COMMITMENTS]
         plan = self._plan(committed, now)
-        room = _Room(
+        capacity = _Capacity(
             plan.slots - committed,
             plan.training
             - sum(
-                holder.count_committed_training(now)
-                for holder in self._holders.values()
+                requester.count_committed_training(now)
+                for requester in self._requesters.values()
             ),
         )
         sent = {}
-        for holder in self._sort_holders(plan):
-            goal = self._bound(holder, plan.targets[holder.name], room, now)
-            revoke = plan.revoked.get(holder.name, 0)
-            told = _must_tell(holder, goal, revoke, contended=plan.contended)
-            if holder.name in reporters:
+        for requester in self._sort_requesters(plan):
+            target = self._limit_target(
+                requester, plan.targets[requester.name], capacity, now
+            )
+            revoke = plan.revoked.get(requester.name, 0)
+            must_send = _must_send(
+                requester, target, revoke, contended=plan.contended
+            )
+            if requester.name in reporters:
                 renewal = self._terms.renewal
-                told = told or holder.awaits(goal, now, renewal)
-            if not told:
+                must_send = must_send or requester.needs_answer(
+                    target, now, renewal
+                )
+            if not must_send:
                 continue
-            before = _Room.read(holder, now)
-            holder.answered = now
-            sent[holder.name] = holder.allow(
-                goal, revoke, self._terms.term, contended=plan.contended
+            before = _Capacity.committed_by(requester, now)
+            requester.answered_at = now
+            sent[requester.name] = requester.make_allowance(
+                target, revoke, self._terms.term, contended=plan.contended
             )
-            room.shrink(before, _Room.read(holder, now))
+            capacity.subtract(before, _Capacity.committed_by(requester, now))
         return sent
 
     def _plan(self, committed: int, now: timedelta) -> _Plan:
         slots = max(self._upstream.slots - math.ceil(self.foreign_slots), 0)
         headroom = min(self._upstream.human_headroom, slots)
-        claims = self._list_claims(now)
-        accounts = FairnessState(self._weights, self._ledger.read())
-        targets = divide_slots(slots, headroom, claims, accounts)
+        demands = self._list_demands(now)
+        accounts = FairnessState(self._weights, self._token_counts.read())
+        targets = divide_slots(slots, headroom, demands, accounts)
         missing = sum(
-            max(target.total - self._holders[name].count_committed(now), 0)
+            max(target.total - self._requesters[name].count_committed(now), 0)
             for name, target in targets.items()
         )
-        revoked = self._choose_revoked(slots, headroom, targets)
+        revoked = self._plan_revocations(slots, headroom, targets)
         used = sum(target.human for target in targets.values())
-        _add_spares(slots, targets, list(self._holders.values()))
+        _add_spare_slots(slots, targets, list(self._requesters.values()))
         training = max(slots - headroom - used, 0)
         contended = missing > slots - committed or (
-            sum(claim.wanted for claim in claims) > slots - headroom
+            sum(demand.wanted for demand in demands) > slots - headroom
         )
         if not contended:
-            _add_advance(training, targets)
+            _add_extra_training(training, targets)
         return _Plan(slots, training, targets, revoked, contended=contended)
 
-    def _list_claims(self, now: timedelta) -> list[AccountDemand]:
+    def _list_demands(self, now: timedelta) -> list[AccountDemand]:
         return [
-            claim
-            for holder in self._holders.values()
-            for claim in holder.list_claims(now)
+            demand
+            for requester in self._requesters.values()
+            for demand in requester.list_demands(now)
         ]
 
-    def _drop_silent(self, now: timedelta) -> None:
+    def _drop_expired_requesters(self, now: timedelta) -> None:
         # A daemon that died sends no last report, and its slots would be
         # lost for good. One that is only cut off has by then lapsed on its
         # own clock and revoked its training above the fallback share.
         limit = self._terms.term + self._terms.renewal
-        for name, holder in tuple(self._holders.items()):
-            gone = name not in self._fallback
-            silent = now - holder.heard
-            if silent >= limit or (gone and silent >= self._terms.term):
-                self._holders.pop(name)
-
-    def _sort_holders(self, plan: _Plan) -> list[RequesterState]:
+        for name, requester in tuple(self._requesters.items()):
+            gone = name not in self._fallback_shares
+            since_report = now - requester.reported_at
+            if since_report >= limit or (
+                gone and since_report >= self._terms.term
+            ):
+                self._requesters.pop(name)
+
+    def _sort_requesters(self, plan: _Plan) -> list[RequesterState]:
         targets = plan.targets
         return sorted(
-            self._holders.values(),
-            key=lambda holder: (
-                -min(holder.count_waiting(TrafficClass.human), 1),
-                holder.current.total - targets[holder.name].total,
+            self._requesters.values(),
+            key=lambda requester: (
+                -min(requester.count_waiting(TrafficClass.human), 1),
+                requester.current.total - targets[requester.name].total,
             ),
         )
 
-    def _bound(
+    def _limit_target(
         self,
-        holder: RequesterState,
+        requester: RequesterState,
         target: SlotTarget,
-        room: _Room,
+        capacity: _Capacity,
         now: timedelta,
     ) -> SlotTarget:
-        committed = _Room.read(holder, now)
-        most = committed.total + max(room.total, 0)
-        training = committed.training + max(room.training, 0)
-        if now < self._settles:
-            share = self._fallback.get(holder.name, 0)
-            most = max(committed.total, share)
+        committed = _Capacity.committed_by(requester, now)
+        max_total = committed.total + max(capacity.total, 0)
+        training = committed.training + max(capacity.training, 0)
+        if now < self._takeover_ends_at:
+            share = self._fallback_shares.get(requester.name, 0)
+            max_total = max(committed.total, share)
             training = max(committed.training, share)
         # Training that runs on above its target keeps its slots for a while;
         # humans get theirs beside them, not after them.
-        above = holder.count_running(TrafficClass.training) - target.training
-        human = min(target.human + max(above, 0), most)
-        return SlotTarget(human, min(target.training, training, most - human))
+        above = requester.count_running(TrafficClass.training) - target.training
+        human = min(target.human + max(above, 0), max_total)
+        return SlotTarget(
+            human, min(target.training, training, max_total - human)
+        )
 
-    def _choose_revoked(
+    def _plan_revocations(
         self,
         slots: int,
         headroom: int,
         targets: Mapping[str, SlotTarget],
     ) -> dict[str, int]:
         running = {
-            name: holder.count_running(TrafficClass.training)
-            for name, holder in self._holders.items()
+            name: requester.count_running(TrafficClass.training)
+            for name, requester in self._requesters.items()
         }
         humans = sum(
-            holder.count_running(TrafficClass.human)
-            + holder.count_waiting(TrafficClass.human)
-            for holder in self._holders.values()
+            requester.count_running(TrafficClass.human)
+            + requester.count_waiting(TrafficClass.human)
+            for requester in self._requesters.values()
         )
         # Half of the headroom may fill up before training is cut: a stream
         # that is cut at every human request would never get anywhere.
-        room = max(slots - humans - math.ceil(headroom / 2), 0)
-        excess = sum(running.values()) - room
+        capacity = max(slots - humans - math.ceil(headroom / 2), 0)
+        excess = sum(running.values()) - capacity
         revoked: dict[str, int] = {}
         for name, count in running.items():
             above = max(count - targets[name].training, 0)
@@ -306,13 +320,15 @@
         return revoked
 
 
-def _add_spares(
+def _add_spare_slots(
     slots: int,
     targets: Mapping[str, SlotTarget],
-    holders: list[RequesterState],
+    requesters: list[RequesterState],
 ) -> None:
     left = slots - sum(target.total for target in targets.values())
-    wanted = {holder.name: holder.report.spares for holder in holders}
+    wanted = {
+        requester.name: requester.report.spares for requester in requesters
+    }
     while left > 0 and any(wanted.values()):
         for name in sorted(wanted):
             if wanted[name] and left > 0:
@@ -321,35 +337,42 @@
                 left -= 1
 
 
-def _add_advance(training: int, targets: Mapping[str, SlotTarget]) -> None:
+def _add_extra_training(
+    training: int, targets: Mapping[str, SlotTarget]
+) -> None:
     # Samples that start and end one by one would each cost a report and an
     # answer; while nobody waits, a few slots more cost nothing.
     left = training - sum(target.training for target in targets.values())
     for target in targets.values():
         if target.training:
-            more = min(1 + target.training // ADVANCE_DIVISOR, max(left, 0))
-            target.training += more
-            left -= more
+            extra = min(
+                1 + target.training // EXTRA_TRAINING_DIVISOR, max(left, 0)
+            )
+            target.training += extra
+            left -= extra
 
 
-def _must_tell(
-    holder: RequesterState,
-    goal: SlotTarget,
+def _must_send(
+    requester: RequesterState,
+    target: SlotTarget,
     revoke: int,
     *,
     contended: bool,
 ) -> bool:
-    current = holder.current
+    current = requester.current
     if revoke != current.revoke:
         return True
-    if holder.count_waiting(TrafficClass.human) and goal.total > current.total:
+    if (
+        requester.count_waiting(TrafficClass.human)
+        and target.total > current.total
+    ):
         return True
-    if holder.count_waiting(TrafficClass.training):
-        if goal.training > current.training:
+    if requester.count_waiting(TrafficClass.training):
+        if target.training > current.training:
             return True
     if not contended:
         # Idle slots that nobody misses stay where they are.
         return False
-    if goal.total < current.total:
+    if target.total < current.total:
         return True
-    return not current.contended and current.total > holder.running
+    return not current.contended and current.total > requester.running
--- a/quetzalcourse/coordination/slots/upstream_choice.py
+++ b/quetzalcourse/coordination/slots/upstream_choice.py
@@ -16,30 +16,30 @@
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.slots import SlotWaiter
 
-MAX_ASKED = 6
-OWN_ASKED = 3
-ACTIVE_DETOUR = 0.25
-IDLE_DETOUR = 0.5
-PATIENCE = {
+MAX_ASKED_UPSTREAMS = 6
+LOCAL_ASKS_FIRST = 3
+IN_USE_UPSTREAM_PENALTY = 0.25
+UNUSED_UPSTREAM_PENALTY = 0.5
+ASK_INTERVALS = {
     TrafficClass.human: timedelta(milliseconds=200),
     TrafficClass.training: timedelta(seconds=1),
 }
 
 
-def is_due(waiter: SlotWaiter, now: timedelta) -> bool:
+def is_next_ask_due(waiter: SlotWaiter, now: timedelta) -> bool:
     """Tell whether a request has waited long enough to ask once more."""
     asked = len(waiter.asked)
-    if asked >= MAX_ASKED:
+    if asked >= MAX_ASKED_UPSTREAMS:
         return False
-    patience = PATIENCE[waiter.key.traffic_class]
-    return now - waiter.queued >= patience * asked
+    interval = ASK_INTERVALS[waiter.key.traffic_class]
+    return now - waiter.queued >= interval * asked
 
 
 def choose_upstream(
     waiter: SlotWaiter,
     upstreams: Mapping[str, Upstream],
     own: Member,
-    find_usage: Callable[[str], LocalSlotState],
+    get_slot_state: Callable[[str], LocalSlotState],
 ) -> str | None:
     """Choose the next upstream to ask.
 
@@ -47,53 +47,55 @@
     follow, cheapest first. One without an owner can't be asked.
 
     :param own: this daemon.
-    :param find_usage: finds what this daemon has at an upstream.
+    :param get_slot_state: finds what this daemon has at an upstream.
     """
-    usages = [
-        find_usage(name)
+    states = [
+        get_slot_state(name)
         for name in waiter.request.candidates
         if name in upstreams and name not in waiter.asked
     ]
-    askable = [usage for usage in usages if usage.owner]
-    near: list[LocalSlotState] = []
-    far: list[LocalSlotState] = []
-    for usage in askable:
-        centre = upstreams[usage.upstream].data_centre
-        (near if centre == own.data_centre else far).append(usage)
-    if near and (len(waiter.asked) < OWN_ASKED or not far):
-        rank = partial(_rank_near, upstreams, own.incarnation)
-        return min(near, key=rank).upstream
-    if not far:
+    askable = [state for state in states if state.owner]
+    local: list[LocalSlotState] = []
+    remote: list[LocalSlotState] = []
+    for state in askable:
+        centre = upstreams[state.upstream].data_centre
+        (local if centre == own.data_centre else remote).append(state)
+    if local and (len(waiter.asked) < LOCAL_ASKS_FIRST or not remote):
+        rank = partial(_score_local, upstreams, own.incarnation)
+        return min(local, key=rank).upstream
+    if not remote:
         return None
-    return min(far, key=partial(_rank_far, upstreams)).upstream
+    return min(remote, key=partial(_score_remote, upstreams)).upstream
 
 
-def _rank_near(
+def _score_local(
     upstreams: Mapping[str, Upstream],
     own: str,
-    usage: LocalSlotState,
+    state: LocalSlotState,
 ) -> float:
     # Each pair of a daemon and an owner exchanges messages as long as it is
     # in use. Spread over all owners, they would take more than all traffic
     # for control may; so a daemon first fills what it owns, then what it
     # uses anyway, and spreads with its load.
-    detour = 0.0
-    if usage.owner != own:
-        detour = ACTIVE_DETOUR if usage.total else IDLE_DETOUR
-    return detour + _rank_load(upstreams, usage)
+    penalty = 0.0
+    if state.owner != own:
+        penalty = (
+            IN_USE_UPSTREAM_PENALTY if state.total else UNUSED_UPSTREAM_PENALTY
+        )
+    return penalty + _compute_load(upstreams, state)
 
 
-def _rank_load(
-    upstreams: Mapping[str, Upstream], usage: LocalSlotState
+def _compute_load(
+    upstreams: Mapping[str, Upstream], state: LocalSlotState
 ) -> float:
-    busy = usage.total + sum(len(times) for times in usage.waiting.values())
-    crowded = usage.allowance is not None and usage.allowance.contended
-    return busy / upstreams[usage.upstream].slots + int(crowded)
+    busy = state.total + sum(len(times) for times in state.waiting.values())
+    is_contended = state.allowance is not None and state.allowance.contended
+    return busy / upstreams[state.upstream].slots + int(is_contended)
 
 
-def _rank_far(
+def _score_remote(
     upstreams: Mapping[str, Upstream],
-    usage: LocalSlotState,
+    state: LocalSlotState,
 ) -> tuple[float, float]:
-    price = upstreams[usage.upstream].price_per_hour
-    return (price, _rank_load(upstreams, usage))
+    price = upstreams[state.upstream].price_per_hour
+    return (price, _compute_load(upstreams, state))
--- a/quetzalcourse/tests/coordination/slots/admission_tests.py
+++ b/quetzalcourse/tests/coordination/slots/admission_tests.py
@@ -24,7 +24,7 @@
 SECOND = timedelta(seconds=1)
 
 
-def start(
+def start_daemon(
     rate: float = 1e6,
     concurrent: int = 100,
     queued: int = 100,
@@ -48,7 +48,7 @@
 async def test_cancelled_after_grant_gives_slot_back() -> None:
     # The caller hangs up in the very step in which its slot was granted.
     # Nobody knows of the slot any more, and the engine stays one short.
-    holder = start()
+    holder = start_daemon()
     for _ in range(4):
         holder.ask(HUMAN)
     await settle()
@@ -63,7 +63,7 @@
 
 async def test_cancelled_before_grant_is_skipped() -> None:
     # The caller hangs up, and a slot is released before its task has run.
-    holder = start()
+    holder = start_daemon()
     for _ in range(4):
         holder.ask(HUMAN)
     await settle()
@@ -81,7 +81,7 @@
 async def test_deadline_ends_waiting_at_once() -> None:
     # All slots are taken for longer than the caller waits. It learns so
     # when its time is over, and its request is never sent.
-    holder = start()
+    holder = start_daemon()
     for _ in range(4):
         holder.ask(HUMAN)
     await settle()
@@ -109,7 +109,7 @@
     asked: int,
     code: RefusalCode,
 ) -> None:
-    holder = start(**limits)
+    holder = start_daemon(**limits)
     tasks = []
     for _ in range(asked):
         tasks.append(holder.ask(HUMAN))
@@ -123,7 +123,7 @@
 
 
 async def test_rate_is_allowed_again_after_the_time_told() -> None:
-    holder = start(rate=0.5)
+    holder = start_daemon(rate=0.5)
     holder.ask(HUMAN)
     await settle()
     refused = holder.ask(HUMAN)
@@ -151,7 +151,7 @@
 ) -> None:
     # More requests come than the daemon may keep. Training is shed first,
     # and what would expire first anyway.
-    holder = start()
+    holder = start_daemon()
     holder.admission._max_waiting = 3
     for _ in range(4):
         holder.ask(HUMAN)
@@ -170,7 +170,7 @@
 
 async def test_flooding_account_hurts_itself_only() -> None:
     # One account asks for ten times as much as the other and came first.
-    holder = start()
+    holder = start_daemon()
     for _ in range(4):
         holder.ask(TRAINING, account='busy')
     for _ in range(40):
@@ -190,7 +190,7 @@
 
 async def test_second_release_frees_nothing() -> None:
     # A holder that releases twice would let the engine be overfilled.
-    holder = start()
+    holder = start_daemon()
     for _ in range(6):
         holder.ask(HUMAN)
     await settle()
--- a/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
@@ -62,12 +62,12 @@
     )
 
 
-def make_owner(settles: timedelta = ZERO) -> SlotOwner:
+def make_owner(takeover_ends_at: timedelta = ZERO) -> SlotOwner:
     """Make the owner of four slots."""
-    return SlotOwner(make_upstream(), TERMS, settles, SHARES)
+    return SlotOwner(make_upstream(), TERMS, takeover_ends_at, SHARES)
 
 
-def grant(
+def report_and_decide(
     owner: SlotOwner,
     name: str,
     report: SlotReport,
@@ -86,13 +86,13 @@
     # the slots, and whoever got them too would wait inside the engine.
     owner = make_owner()
     first = make_report(1, 0, 4, human=human)
-    assert grant(owner, 'a', first) == {'a': 4}
-    assert grant(owner, 'b', first) == {'a': 2, 'b': 0}
+    assert report_and_decide(owner, 'a', first) == {'a': 4}
+    assert report_and_decide(owner, 'b', first) == {'a': 2, 'b': 0}
     later = timedelta(seconds=1)
     again = make_report(2, 0, 4, human=human)
-    assert grant(owner, 'b', again, later)['b'] == 0
+    assert report_and_decide(owner, 'b', again, later)['b'] == 0
     confirmed = make_report(2, 2, 2, 2, human=human)
-    assert grant(owner, 'a', confirmed, later)['b'] == 2
+    assert report_and_decide(owner, 'a', confirmed, later)['b'] == 2
 
 
 @pytest.mark.parametrize(
@@ -106,9 +106,11 @@
     # A daemon dies with slots in use and says nothing. They are free for
     # the others once its allowance has lapsed for sure.
     owner = make_owner()
-    grant(owner, 'a', make_report(1, 0, 4))
+    report_and_decide(owner, 'a', make_report(1, 0, 4))
     now = timedelta(seconds=seconds)
-    assert grant(owner, 'b', make_report(1, 0, 4), now)['b'] == allowed
+    assert (
+        report_and_decide(owner, 'b', make_report(1, 0, 4), now)['b'] == allowed
+    )
 
 
 @pytest.mark.parametrize(
@@ -122,17 +124,17 @@
 ) -> None:
     # The owner before this one granted slots that this one knows nothing
     # of. Granting all four again would run up to eight.
-    owner = make_owner(settles=TERMS.term)
+    owner = make_owner(takeover_ends_at=TERMS.term)
     report = make_report(1, held if waiting else 0, waiting, held=held)
-    assert grant(owner, 'a', report) == {'a': allowed}
+    assert report_and_decide(owner, 'a', report) == {'a': allowed}
 
 
 def test_old_report_changes_nothing() -> None:
     # Messages overtake one another. A report from before a daemon filled
     # its slots would make them look free.
     owner = make_owner()
-    grant(owner, 'a', make_report(2, 0, 4))
-    assert not grant(owner, 'a', make_report(1, 0, 0))
+    report_and_decide(owner, 'a', make_report(2, 0, 4))
+    assert not report_and_decide(owner, 'a', make_report(1, 0, 0))
     assert owner.count_committed(ZERO) == 4
 
 
@@ -148,34 +150,34 @@
     served: dict[int, float],
     shares: tuple[int, int],
 ) -> None:
-    claims = [
+    demands = [
         AccountDemand('a', make_key(1), 40, ZERO),
         AccountDemand('b', make_key(2), 4, ZERO),
     ]
     ledger = {make_key(account): tokens for account, tokens in served.items()}
-    targets = divide_slots(4, 0, claims, FairnessState(served=ledger))
+    targets = divide_slots(4, 0, demands, FairnessState(served=ledger))
     assert (targets['a'].training, targets['b'].training) == shares
 
 
 def test_slot_goes_to_the_daemon_that_waited_longest() -> None:
     # One slot and two daemons: the one that keeps its slot busy would keep
     # it for ever.
-    claims = [
+    demands = [
         AccountDemand('a', make_key(1), 2, timedelta(seconds=1)),
         AccountDemand('b', make_key(1), 1, timedelta(seconds=2)),
     ]
-    targets = divide_slots(1, 0, claims, FairnessState())
+    targets = divide_slots(1, 0, demands, FairnessState())
     assert targets['b'].training == 1
 
 
 def test_weights_divide_what_is_scarce() -> None:
-    claims = [
+    demands = [
         AccountDemand('a', make_key(1), 40, ZERO),
         AccountDemand('a', make_key(2), 40, ZERO),
         AccountDemand('b', make_key(3, human=True), 3, ZERO),
     ]
     accounts = FairnessState({1: 3.0, 2: 1.0})
-    targets = divide_slots(12, 1, claims, accounts)
+    targets = divide_slots(12, 1, demands, accounts)
     assert (targets['b'].human, targets['a'].training) == (3, 8)
 
 
--- a/quetzalcourse/tests/coordination/slots/slot_sharing_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_sharing_tests.py
@@ -26,11 +26,11 @@
 SLOTS = 8
 HEADROOM = 2
 FALLBACK = 2
-RECOVERY = 2 * (TERMS.term + TERMS.renewal).total_seconds()
+RECOVERY_SECONDS = 2 * (TERMS.term + TERMS.renewal).total_seconds()
 MANIFEST = make_manifest(make_upstream(slots=SLOTS, human_headroom=HEADROOM))
 
 
-def find_owning(deployment: Deployment) -> Holder:
+def find_owner_daemon(deployment: Deployment) -> Holder:
     """Find the daemon that owns the engine."""
     members = [holder.member for holder in deployment.holders]
     owner = find_owner('engine', members)
@@ -39,12 +39,12 @@
     )
 
 
-async def load(deployment: Deployment, requests: int) -> None:
+async def fill_with_training(deployment: Deployment, requests: int) -> None:
     """Let every daemon ask for training slots."""
     for holder in deployment.holders:
         for _ in range(requests):
             holder.ask(TRAINING)
-    await deployment.pass_time(2 * RECOVERY)
+    await deployment.pass_time(2 * RECOVERY_SECONDS)
 
 
 async def test_one_daemon_needs_no_messages() -> None:
@@ -62,7 +62,7 @@
     # All samples of a step come from the daemon that runs it. With a fixed
     # share for each daemon most slots would stand idle beside its queue.
     deployment = Deployment(3, MANIFEST)
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     for _ in range(SLOTS):
         deployment.holders[0].ask(TRAINING)
     await deployment.pass_time(1)
@@ -74,7 +74,7 @@
     # A human who waits for a message to the owner and back is slower by it
     # at every request, and waits for seconds if the message is lost.
     deployment = Deployment(2, MANIFEST)
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     for holder in deployment.holders:
         holder.ask(HUMAN)
     await deployment.pass_time(TERMS.spare_hold.total_seconds() / 2)
@@ -92,8 +92,8 @@
     # The message that asks for a human's slot is lost. Slots are free, but
     # the human would wait for the next renewal, seconds later.
     deployment = Deployment(2, MANIFEST)
-    await deployment.pass_time(RECOVERY)
-    owner = find_owning(deployment)
+    await deployment.pass_time(RECOVERY_SECONDS)
+    owner = find_owner_daemon(deployment)
     other = next(one for one in deployment.holders if one is not owner)
     deployment.network.cut(other.member, owner.member)
     other.ask(HUMAN)
@@ -109,7 +109,7 @@
     # Training fills all but the headroom. More humans than that come at
     # once; they would wait for the end of long training streams.
     deployment = Deployment(2, MANIFEST)
-    await load(deployment, SLOTS)
+    await fill_with_training(deployment, SLOTS)
     for holder in deployment.holders:
         for _ in range(HEADROOM):
             holder.ask(HUMAN)
@@ -124,8 +124,8 @@
     # once would grant what others still use; one that waits for the dead
     # daemon's requests would lose their slots for good.
     deployment = Deployment(3, MANIFEST)
-    await load(deployment, SLOTS)
-    owner = find_owning(deployment)
+    await fill_with_training(deployment, SLOTS)
+    owner = find_owner_daemon(deployment)
     lost = len(owner.grants)
     await deployment.kill(owner)
     before = deployment.count()
@@ -133,7 +133,7 @@
     for _ in range(int(TERMS.term.total_seconds()) - 1):
         await deployment.pass_time(1)
         assert before <= deployment.count() <= SLOTS
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     assert deployment.count() == SLOTS - HEADROOM
     await deployment.stop()
 
@@ -142,15 +142,15 @@
     # A daemon hears the owner no more, though both are live. It must not go
     # on with slots that the owner gives to others after a while.
     deployment = Deployment(2, MANIFEST)
-    await load(deployment, SLOTS)
-    owner = find_owning(deployment)
+    await fill_with_training(deployment, SLOTS)
+    owner = find_owner_daemon(deployment)
     other = next(one for one in deployment.holders if one is not owner)
     deployment.network.cut(owner.member, other.member)
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     assert other.count(TRAINING) <= FALLBACK
     assert deployment.count() <= SLOTS + FALLBACK
     deployment.network.heal()
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     assert deployment.count() == SLOTS - HEADROOM
     await deployment.stop()
 
@@ -162,7 +162,7 @@
     deployment = Deployment(2, MANIFEST)
     for holder in deployment.holders:
         holder.follow(MANIFEST, [holder.member])
-    await load(deployment, 5 * SLOTS)
+    await fill_with_training(deployment, 5 * SLOTS)
     assert deployment.count() > SLOTS
     for _ in range(20):
         for holder in deployment.holders:
@@ -189,7 +189,7 @@
     remote = Holder(remote.member, deployment.network)
     deployment.holders[1] = remote
     deployment.agree()
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     tasks = [near.ask(HUMAN, ('engine', 'far', 'cheap')) for _ in range(6)]
     await deployment.pass_time(2)
     names = sorted(grant.upstream.name for grant in near.grants)
@@ -208,18 +208,18 @@
 async def test_new_daemon_gets_its_share(graceful: bool) -> None:
     # A daemon joins while the slots are in use, and may become the owner.
     deployment = Deployment(2, MANIFEST)
-    await load(deployment, SLOTS)
+    await fill_with_training(deployment, SLOTS)
     deployment.join()
     joined = deployment.holders[-1]
     for _ in range(SLOTS):
         joined.ask(TRAINING)
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     assert deployment.count() <= SLOTS
     for holder in deployment.holders[:2]:
         holder.end_one()
         if not graceful:
             holder.end_one()
-    await deployment.pass_time(RECOVERY)
+    await deployment.pass_time(RECOVERY_SECONDS)
     assert joined.count(TRAINING) >= 1
     assert deployment.count() == SLOTS - HEADROOM
     await deployment.stop()
@@ -341,7 +341,7 @@
         for holder in self.deployment.holders:
             if holder.member.incarnation in network.paused:
                 network.resume(holder.member)
-        await self.deployment.pass_time(2 * RECOVERY)
+        await self.deployment.pass_time(2 * RECOVERY_SECONDS)
         self.faulty.clear()
         self.paused.clear()
 
