--- a/quetzalcourse/coordination/slots/__init__.py
+++ b/quetzalcourse/coordination/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Who may use the slots of an upstream, and when."""
+"""Admission of requests to upstream slots and their division among daemons."""
--- a/quetzalcourse/coordination/slots/account_limits.py
+++ b/quetzalcourse/coordination/slots/account_limits.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts, and what a caller above them is told."""
+"""Per-account admission limits, and the refusals that callers receive."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class AccountLimits:
-    """Rate, requests in flight and queue length of each account.
+    """Limits the rate, concurrency and queue length of each account.
 
-    Limits are for the whole deployment. The balancer spreads an account's
-    requests evenly but not exactly, so each daemon admits up to twice its
-    even share, and never less than a few; no message is spent on it.
+    Limits apply to the whole deployment. The load balancer spreads an account's
+    requests evenly but not exactly, so each daemon admits up to twice its even
+    share, and never fewer than a few; daemons exchange no messages for this.
     """
 
     def __init__(self) -> None:
-        """Begin without accounts, which leaves everything unlimited."""
+        """Create without accounts, which leaves every request unlimited."""
         self.daemons = 1
         self._accounts: Mapping[str, ClientAccount] = {}
         self._buckets: dict[str, _TokenBucket] = {}
@@ -45,17 +45,17 @@
         self._waiting: Counter[str] = Counter()
 
     def on_manifest(self, accounts: Mapping[str, ClientAccount]) -> None:
-        """Take the accounts that came into force."""
+        """Apply the accounts of a new manifest."""
         self._accounts = accounts
         for name in tuple(self._buckets):
             if name not in accounts:
                 self._buckets.pop(name)
 
     def check(self, request: SlotRequest, now: timedelta) -> Refusal | None:
-        """Count a request against its account's limits.
+        """Check a request against its account's limits and count it.
 
-        Training is left out: a step is bounded by its own size, and its
-        samples wait instead of failing.
+        Training is exempt: a step is bounded by its own size, and its samples
+        wait instead of failing.
 
         :returns: the refusal if a limit is reached.
         """
@@ -67,7 +67,8 @@
         ):
             return _refuse(
                 RefusalCode.rate_limited,
-                f'The account may have {account.concurrent} requests at once.',
+                f'The account is limited to {account.concurrent} concurrent '
+                'requests.',
                 timedelta(seconds=1),
             )
         if request.resumed:
@@ -75,7 +76,7 @@
         return self._take_token(account, now)
 
     def check_queue(self, request: SlotRequest) -> Refusal | None:
-        """Refuse a request that joined a queue which was full already."""
+        """Refuse a request that joined a queue that was already full."""
         account = self._accounts.get(request.client_account)
         if account is None or not _is_limited(request):
             return None
@@ -85,27 +86,27 @@
             return None
         return _refuse(
             RefusalCode.overloaded,
-            f'{account.queued} requests of the account may wait at once.',
+            f'The account is limited to {account.queued} queued requests.',
             timedelta(seconds=2),
         )
 
     def on_arrived(self, work: SlotRequest | Grant) -> None:
-        """Count a request that waits or runs from now on."""
+        """Count a request as in flight, whether it waits or runs."""
         if _is_limited(work):
             self._in_flight[work.client_account] += 1
 
     def on_left(self, work: SlotRequest | Grant) -> None:
-        """Count a request that neither waits nor runs any more."""
+        """Stop counting a request that no longer waits or runs."""
         if _is_limited(work):
             _subtract(self._in_flight, work.client_account)
 
     def on_queued(self, request: SlotRequest) -> None:
-        """Count a request that begins to wait."""
+        """Count a request that enters the queue."""
         if _is_limited(request):
             self._waiting[request.client_account] += 1
 
     def on_unqueued(self, request: SlotRequest) -> None:
-        """Count a request that waits no more."""
+        """Stop counting a request that leaves the queue."""
         if _is_limited(request):
             _subtract(self._waiting, request.client_account)
 
@@ -137,8 +138,8 @@
             return None
         return _refuse(
             RefusalCode.rate_limited,
-            f'The account may send {account.requests_per_second:g} '
-            'requests a second.',
+            f'The account is limited to {account.requests_per_second:g} '
+            'requests per second.',
             timedelta(seconds=(1 - bucket.tokens) / rate),
         )
 
--- a/quetzalcourse/coordination/slots/admission.py
+++ b/quetzalcourse/coordination/slots/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which request gets a slot of which upstream, and when."""
+"""Admission control: which request gets a slot of which upstream, and when."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 
 
 class Admission:
-    """Hands out the slots of upstreams, humans first.
+    """Assigns upstream slots to waiting requests, human requests first.
 
-    Waiting happens here and not in an engine, since an engine admits in the
-    order of arrival and a human would wait there behind training.
+    Requests queue here and not in the engine, since an engine admits in order
+    of arrival and a human request would wait there behind training.
 
-    :param clock: tells when a deadline has passed.
-    :param policy: tells how much this daemon may run on each upstream; left
-        out, this daemon has them for itself.
-    :param max_waiting: requests that may wait here at once.
+    :param clock: used to detect passed deadlines.
+    :param policy: limits how much this daemon may run on each upstream; without
+        one, this daemon uses all slots alone.
+    :param max_waiting: largest number of requests that may wait here at once.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         counters: Counters | None = None,
         max_waiting: int = MAX_WAITING,
     ) -> None:
-        """Begin without upstreams."""
+        """Create without upstreams."""
         self.limits = AccountLimits()
         self._clock = clock
         self._policy = policy or build_standalone_policy(clock)
@@ -68,7 +68,7 @@
         self._policy.listen(self.on_free, self.on_revoked)
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams and accounts that came into force."""
+        """Apply the upstreams and accounts of a new manifest."""
         self._upstreams = dict(manifest.upstreams)
         accounts = manifest.client_accounts
         self._account_names = {hash_name(name): name for name in accounts}
@@ -82,24 +82,24 @@
             self.on_free(name)
 
     def on_stop(self) -> None:
-        """End the watch on deadlines."""
+        """Stop the deadline timer."""
         self._deadlines.stop()
 
     def running(self, upstream: str) -> int:
-        """Count the requests that hold a slot of an upstream."""
+        """Return the number of requests that hold a slot of an upstream."""
         return self._held.running(upstream)
 
     def waiting(self) -> int:
-        """Count the requests that wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return len(self._queue)
 
     async def acquire(self, request: SlotRequest) -> Grant:
         """Wait for a slot.
 
-        :param request: what wants to run.
-        :returns: the slot, to be given back by :meth:`release`.
-        :raises RefusedError: if a limit is reached, the queue is full or
-            the deadline passes first; it has not run then.
+        :param request: the request to admit.
+        :returns: the slot, to be returned with :meth:`release`.
+        :raises RefusedError: if a limit is reached, the queue is full or the
+            deadline passes first; the request has not run in that case.
         """
         now = self._clock.elapsed()
         refusal = self.limits.check(request, now)
@@ -116,9 +116,9 @@
             raise
 
     def release(self, grant: Grant, tokens: int = 0) -> None:
-        """Give a slot back; a second time does nothing.
+        """Return a slot; releasing a grant again has no effect.
 
-        :param tokens: how many were generated while it was held.
+        :param tokens: number of tokens generated while the slot was held.
         """
         charged = self._held.remove(grant)
         if charged is None:
@@ -132,7 +132,7 @@
         self.on_free(upstream)
 
     def on_free(self, upstream: str) -> None:
-        """Hand out what an upstream has free, humans first."""
+        """Assign the free slots of an upstream, human requests first."""
         if upstream not in self._upstreams:
             return
         for traffic_class in CLASSES_BY_PRIORITY:
@@ -141,15 +141,16 @@
                 if waiter is None:
                     break
                 self._unqueue(waiter)
-                # A caller that went away stays in the queue until its task
-                # has run; a slot granted to it would never come back.
+                # A request whose caller disconnected stays in the queue until
+                # its task has run; a slot granted to it would never be
+                # released.
                 if not waiter.granted.done():
                     self._grant(waiter, upstream)
 
     def on_revoked(self, upstream: str, count: int) -> None:
-        """Take slots back from training.
+        """Revoke slots from training requests.
 
-        :param count: how many must be on their way back in all.
+        :param count: total number of slots that must be in revocation.
         """
         revoked = self._held.revoke_training(upstream, count)
         if revoked:
@@ -179,8 +180,8 @@
         if refusal is not None:
             self._reject(waiter, refusal)
             return
-        # Without a bound, a flood would take the daemon's memory and every
-        # request in the queue would be served too late.
+        # Without a bound, a flood of requests would exhaust the daemon's
+        # memory, and every queued request would be served too late.
         if len(self._queue) > self._max_waiting:
             self._reject(self._queue.choose_victim(), _refuse_queue_full())
         if waiter.granted.done():
@@ -209,9 +210,9 @@
         )
 
     def _on_cancelled(self, waiter: SlotWaiter) -> None:
-        # A caller may go away in the same step of the loop in which its
-        # slot was granted. Nobody would release that slot, and the engine
-        # would stay one short until the daemon restarts.
+        # A caller may disconnect in the same event loop iteration in which its
+        # slot is granted. Nobody else would release that slot, and the engine
+        # would stay one slot short until the daemon restarts.
         if self._unqueue(waiter):
             return
         granted = waiter.granted
@@ -267,7 +268,7 @@
 
 
 def make_load_key(client_account: str, traffic_class: TrafficClass) -> LoadKey:
-    """Name the queue of an account's requests."""
+    """Build the key of the queue that an account's requests wait in."""
     return LoadKey(traffic_class, hash_name(client_account))
 
 
@@ -287,7 +288,7 @@
 def _refuse_queue_full() -> Refusal:
     return Refusal(
         RefusalCode.overloaded,
-        'Too many requests wait for a slot.',
+        'Too many requests are waiting for a slot.',
         not_run=True,
         retry_after=OVERLOAD_RETRY_AFTER,
         step='wait for a slot',
--- a/quetzalcourse/coordination/slots/deadline_timer.py
+++ b/quetzalcourse/coordination/slots/deadline_timer.py
@@ -1,4 +1,4 @@
-"""Watch on the deadlines of requests that wait."""
+"""Timer for the deadlines of queued requests."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class DeadlineTimer:
-    """One task that sleeps until the earliest deadline.
+    """Runs one task that sleeps until the earliest deadline.
 
-    :param expire: ends what is past its deadline and returns the earliest
-        deadline that is left, if there is one.
+    :param expire: ends the requests past their deadline and returns the
+        earliest remaining deadline, if any.
     """
 
     def __init__(
@@ -26,14 +26,14 @@
         clock: Clock,
         expire: Callable[[], timedelta | None],
     ) -> None:
-        """Begin without a task."""
+        """Create without a task."""
         self._clock = clock
         self._expire = expire
         self._task: asyncio.Task[None] | None = None
         self._next_deadline = timedelta.max
 
     def add(self, deadline: timedelta) -> None:
-        """Wake up at a deadline unless an earlier one is awaited."""
+        """Wake up at a deadline unless an earlier one is already set."""
         if self._task is not None and not self._task.done():
             if deadline >= self._next_deadline:
                 return
@@ -43,7 +43,7 @@
         self._task = loop.create_task(self._run())
 
     def stop(self) -> None:
-        """End the task."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
 
--- a/quetzalcourse/coordination/slots/decayed_token_counts.py
+++ b/quetzalcourse/coordination/slots/decayed_token_counts.py
@@ -1,4 +1,4 @@
-"""Recent tokens of each account, old ones counting less and less."""
+"""Exponentially decayed token counts of each account."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class DecayedTokenCounts:
-    """Sums whose terms halve with every half-life.
+    """Keeps token sums that decay with a fixed half-life.
 
-    New tokens are scaled up where old ones would be scaled down, so only
-    ratios between accounts mean anything, and reading costs nothing.
+    New tokens are scaled up instead of scaling old ones down, so only ratios
+    between accounts are meaningful, and reading costs nothing.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing served."""
+        """Create with no tokens counted."""
         self._sums: dict[LoadKey, float] = defaultdict(float)
         self._reference_time: timedelta | None = None
 
     def add(self, key: LoadKey, tokens: int, now: timedelta) -> None:
-        """Count tokens that an account got."""
+        """Add tokens generated for an account."""
         if not tokens:
             return
         if self._reference_time is None:
@@ -41,11 +41,12 @@
         self._sums[key] += tokens * 2**age
 
     def read(self) -> Mapping[LoadKey, float]:
-        """Read the sums, which are comparable with one another only."""
+        """Return the sums, which are comparable only with one another."""
         return self._sums
 
     def _rescale(self, age: float, now: timedelta) -> None:
-        # Scaled up for hours, the sums would overflow.
+        # The scale factor grows with time, so without rescaling the sums would
+        # overflow after hours.
         self._reference_time = now
         scaled = {key: amount / 2**age for key, amount in self._sums.items()}
         self._sums.clear()
--- a/quetzalcourse/coordination/slots/distributed_slot_policy.py
+++ b/quetzalcourse/coordination/slots/distributed_slot_policy.py
@@ -1,4 +1,4 @@
-"""Policy by which the owner of each upstream grants its slots."""
+"""Slot policy in which one owner daemon grants the slots of each upstream."""
 
 from __future__ import annotations
 
@@ -40,13 +40,14 @@
 
 
 class DistributedSlotPolicy:
-    """Asks owners for slots, and grants those of the upstreams owned here.
+    """Requests slots from owners and grants those of the upstreams owned here.
 
-    Reports to this daemon's own upstreams take no message and no time. The
-    others are collected for a moment unless a human waits.
+    Reports on upstreams owned by this daemon need no message and take effect at
+    once. Reports to other owners are batched briefly unless a human request
+    waits.
 
-    :param members: daemons that are live.
-    :param link: carries reports and allowances.
+    :param members: the live daemons.
+    :param link: carries reports and allowances between daemons.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         clock: Clock,
         terms: SlotTerms | None = None,
     ) -> None:
-        """Begin without upstreams."""
+        """Create without upstreams."""
         self._members = members
         self._link = link
         self._clock = clock
@@ -81,16 +82,16 @@
         on_free: Callable[[str], None],
         on_revoked: Callable[[str, int], None],
     ) -> None:
-        """Say whom to tell of changes."""
+        """Register the callbacks for free and revoked slots."""
         self._on_free = on_free
         self._on_revoked = on_revoked
 
     def on_start(self) -> None:
-        """Begin to renew allowances and to ask further owners."""
+        """Start renewing allowances and asking further owners."""
         self._spawn(self._renew())
 
     async def on_stop(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         self._stopped = True
         tasks = tuple(self._tasks)
         for task in tasks:
@@ -98,7 +99,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams and weights that came into force."""
+        """Apply the upstreams and account weights of a new manifest."""
         self._upstreams = dict(manifest.upstreams)
         weights = {
             hash_name(account.name): account.weight
@@ -108,7 +109,7 @@
         self.on_members()
 
     def on_members(self) -> None:
-        """Find the owners anew; those that changed hear of our slots."""
+        """Recompute the owners and report the slots in use to new ones."""
         now = self._clock.elapsed()
         own = self._members.own
         self.owned.on_members(self._members.list_live(own.data_centre), now)
@@ -117,25 +118,25 @@
                 self._schedule_report(state.upstream)
 
     def may_start(self, upstream: str, traffic_class: TrafficClass) -> bool:
-        """Tell whether one more request may run on an upstream."""
+        """Check whether one more request may run on an upstream."""
         state = self._slot_states.get(upstream)
         if state is None or upstream not in self._upstreams:
             return False
         return state.may_start(traffic_class, self._clock.elapsed())
 
     def on_started(self, upstream: str, key: LoadKey) -> None:
-        """Count a request that begins to run."""
+        """Count a request that starts to run."""
         self._get_slot_state(upstream).on_started(key, self._clock.elapsed())
 
     def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
-        """Count a request that runs no more."""
+        """Stop counting a request that finished."""
         state = self._get_slot_state(upstream)
         state.on_released(key, tokens)
         loop = asyncio.get_running_loop()
         loop.call_soon(self._report_idle_slots, state)
 
     def on_queued(self, waiter: SlotWaiter) -> None:
-        """Ask an owner for a request for which there was no room."""
+        """Ask an owner for a slot for a request that could not start."""
         self._waiters[waiter.order] = waiter
         self._ask_next_owner(waiter)
         if waiter.key.traffic_class is TrafficClass.human:
@@ -145,7 +146,7 @@
                 self._spawn(self._retry_for_humans())
 
     def on_unqueued(self, waiter: SlotWaiter) -> None:
-        """Ask no more for a request that waits no more."""
+        """Stop asking for a request that no longer waits."""
         self._waiters.pop(waiter.order, None)
         self._human_waiters.pop(waiter.order, None)
         for name in waiter.asked:
@@ -170,8 +171,8 @@
             self._schedule_report(name)
 
     def _report_idle_slots(self, state: LocalSlotState) -> None:
-        # Runs after the slot could be used again here: what is still idle
-        # then is what others may be waiting for.
+        # Runs after a queued request of this daemon could have taken the slot:
+        # whatever is still idle may be needed by other daemons.
         now = self._clock.elapsed()
         wanted = state.has_wanted_idle_slots(now)
         if state.must_confirm_reduction(now) or (
@@ -207,8 +208,9 @@
         self._retrying = False
 
     def _resend_unanswered(self, now: timedelta) -> None:
-        # A report or its answer was lost. The next renewal would repeat it,
-        # but until then a human waits beside slots that are free.
+        # The report or its answer was lost. The next renewal would repeat the
+        # report, but until then a human request would wait although slots are
+        # free.
         names = {
             name
             for waiter in self._human_waiters.values()
@@ -225,7 +227,7 @@
             self.on_tick()
 
     def on_tick(self) -> None:
-        """Renew what is old, ask further owners and see what lapsed."""
+        """Renew old reports, ask further owners and expire allowances."""
         now = self._clock.elapsed()
         stale = [
             state.upstream
@@ -337,4 +339,4 @@
 
 
 def _ignore(*_: object) -> None:
-    """Take no note: nobody listens yet."""
+    """Ignore a call made before a listener is registered."""
--- a/quetzalcourse/coordination/slots/engine_load_monitor.py
+++ b/quetzalcourse/coordination/slots/engine_load_monitor.py
@@ -1,4 +1,4 @@
-"""Watch on the load of the engines whose slots are granted here."""
+"""Monitoring of the load of engines whose slots this daemon grants."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class EngineLoadMonitor:
-    """Tells owners what their engines say they hold.
+    """Polls the owned engines and reports their load to the slot owners.
 
-    :param control: asks the engines.
+    :param control: queries the engines.
     :param owned: upstreams that this daemon owns.
     """
 
@@ -34,7 +34,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Begin without upstreams."""
+        """Create without upstreams."""
         self._control = control
         self._owned = owned
         self._clock = clock
@@ -42,17 +42,17 @@
         self._upstreams: dict[str, Upstream] = {}
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams that came into force."""
+        """Apply the upstreams of a new manifest."""
         self._upstreams = dict(manifest.upstreams)
 
     async def run(self) -> None:
-        """Ask again and again until cancelled."""
+        """Poll periodically until cancelled."""
         while True:
             await self._clock.sleep(LOAD_POLL_INTERVAL)
             await self.observe()
 
     async def observe(self) -> None:
-        """Ask every owned engine once."""
+        """Poll every owned engine once."""
         engines = [
             self._upstreams[name]
             for name in self._owned.names()
--- a/quetzalcourse/coordination/slots/fair_queue.py
+++ b/quetzalcourse/coordination/slots/fair_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait in this daemon, by class and account."""
+"""Fair queue of this daemon's waiting requests, by class and account."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class FairQueue:
-    """Start-time fair queueing by tokens.
+    """Start-time fair queueing, measured in tokens.
 
-    Each account has a virtual time, which grows with its tokens over its
-    weight; the waiting account with the lowest is served next. What a
-    request will generate is not known when it starts, so the account's
-    average is charged then and the difference once it has finished.
+    Each account has a virtual time, which advances by its tokens divided by its
+    weight; the waiting account with the lowest one is served next. The number
+    of tokens a request will generate is unknown when it starts, so the
+    account's average is charged at the start and the difference at the end.
     """
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty queue."""
         self.weights: Mapping[int, float] = {}
         self._queues: dict[LoadKey, dict[frozenset[str], WaitersByOrder]] = {}
         self._finish_tags: dict[LoadKey, float] = {}
@@ -35,24 +35,24 @@
         self._lengths: Counter[LoadKey] = Counter()
 
     def __len__(self) -> int:
-        """Count the requests that wait."""
+        """Return the number of waiting requests."""
         return sum(self._lengths.values())
 
     def count(self, key: LoadKey) -> int:
-        """Count the requests of one class and account that wait."""
+        """Return the number of waiting requests of one class and account."""
         return self._lengths.get(key, 0)
 
     def push(self, waiter: SlotWaiter) -> None:
-        """Add a request behind the others of its account."""
+        """Append a request to the queue of its account."""
         queues = self._queues.setdefault(waiter.key, {})
         candidates = frozenset(waiter.request.candidates)
         queues.setdefault(candidates, {})[waiter.order] = waiter
         self._lengths[waiter.key] += 1
 
     def remove(self, waiter: SlotWaiter) -> bool:
-        """Take a request out.
+        """Remove a request.
 
-        :returns: whether it was still there.
+        :returns: whether it was still queued.
         """
         queues = self._queues.get(waiter.key, {})
         candidates = frozenset(waiter.request.candidates)
@@ -89,7 +89,7 @@
     def charge_start(self, key: LoadKey) -> float:
         """Charge an account for a request that starts.
 
-        :returns: how many tokens were charged.
+        :returns: the number of tokens charged.
         """
         start = self._compute_start_tag(key)
         self._virtual_times[key.traffic_class] = start
@@ -98,9 +98,9 @@
         return estimate
 
     def charge_end(self, key: LoadKey, charged: float, tokens: int) -> None:
-        """Charge what a request generated beyond its estimate.
+        """Charge the difference between a request's tokens and its estimate.
 
-        :param charged: what :meth:`charge_start` charged for it.
+        :param charged: tokens charged for it by :meth:`charge_start`.
         """
         cost = max(float(tokens), 1.0)
         average = self._average_costs.get(key, cost)
@@ -109,16 +109,16 @@
         self._finish_tags[key] = self._finish_tags.get(key, 0.0) + difference
 
     def iter_waiters(self) -> Iterator[SlotWaiter]:
-        """Visit every request that waits."""
+        """Iterate over all waiting requests."""
         for key in self._queues:
             yield from self._iter_account(key)
 
     def choose_victim(self) -> SlotWaiter:
-        """Choose the request to give up when the queue is full.
+        """Choose the request to reject when the queue is full.
 
-        Training goes first, then the account with the longest queue for its
-        weight, and of that the request with the earliest deadline, which is
-        the least likely to be served in time.
+        Training is rejected first, then the account with the longest queue
+        relative to its weight; within that account, the request with the
+        earliest deadline, which is the least likely to be served in time.
         """
         training = [
             key
@@ -139,8 +139,8 @@
             yield from queue.values()
 
     def _compute_start_tag(self, key: LoadKey) -> float:
-        # An account that was idle begins beside the others: credit for the
-        # time before would let it hold all slots when it comes back.
+        # An account that was idle starts at the current virtual time: credit
+        # for its idle time would let it take all slots when it returns.
         virtual_time = self._virtual_times.get(key.traffic_class, 0.0)
         return max(self._finish_tags.get(key, 0.0), virtual_time)
 
--- a/quetzalcourse/coordination/slots/fair_share.py
+++ b/quetzalcourse/coordination/slots/fair_share.py
@@ -1,4 +1,4 @@
-"""Division of an upstream's slots among classes, accounts and daemons."""
+"""Weighted fair division of slots among classes, accounts and daemons."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountDemand:
-    """What one account could use through one daemon.
+    """Slots that one account could use through one daemon.
 
-    :param wanted: requests that run or wait.
-    :param oldest: how long the first waiting one has waited.
+    :param wanted: number of its running and waiting requests.
+    :param oldest: how long its oldest waiting request has waited.
     """
 
     requester: str
@@ -35,22 +35,22 @@
 
 @dataclass(slots=True)
 class SlotTarget:
-    """Slots that a daemon should come to have."""
+    """Number of slots that a daemon should hold."""
 
     human: int = 0
     training: int = 0
 
     @property
     def total(self) -> int:
-        """Slots for both classes."""
+        """Slots of both classes."""
         return self.human + self.training
 
 
 @dataclass(frozen=True, slots=True)
 class FairnessState:
-    """What makes a division fair.
+    """Inputs to the fair division between accounts.
 
-    :param weights: weights of the accounts in the manifest, else one.
+    :param weights: weights of the accounts in the manifest; the default is 1.
     :param served: recent tokens by class and account.
     """
 
@@ -58,7 +58,7 @@
     served: Mapping[LoadKey, float] = field(default_factory=dict)
 
     def get_weight(self, key: LoadKey) -> float:
-        """Tell the weight of an account."""
+        """Return the weight of an account."""
         return self.weights.get(key.account_id, 1.0)
 
 
@@ -67,11 +67,13 @@
     wanted: Mapping[Key, int],
     weights: Mapping[Key, float],
 ) -> dict[Key, float]:
-    """Share a capacity by weight; nobody gets more than it wants.
+    """Allocate a capacity by weighted max-min fairness.
 
-    :param capacity: how much there is.
-    :param wanted: most that each can use.
-    :param weights: claim of each on what is scarce.
+    No key gets more than it wants.
+
+    :param capacity: amount to allocate.
+    :param wanted: largest amount that each key can use.
+    :param weights: weight of each key when the capacity is scarce.
     """
     shares: dict[Key, float] = {}
     left = dict(wanted)
@@ -96,7 +98,7 @@
 ) -> dict[Key, int]:
     """Round shares to whole slots without changing their sum.
 
-    :param order: who gets the slots that are left, lowest first.
+    :param order: keys with the lowest values get the remaining slots.
     """
     whole = {name: int(share) for name, share in shares.items()}
     left = round(sum(shares.values())) - sum(whole.values())
@@ -113,12 +115,13 @@
     demands: list[AccountDemand],
     accounts: FairnessState,
 ) -> dict[str, SlotTarget]:
-    """Say how many slots each daemon should have.
+    """Compute how many slots each daemon should hold.
 
-    Humans come first; training shares what is left but for the headroom.
+    Human requests are served first; training shares the rest except for the
+    headroom.
 
-    :param slots: requests that the upstream runs at once.
-    :param headroom: slots that training leaves free.
+    :param slots: number of requests that the upstream runs at once.
+    :param headroom: number of slots that training leaves free.
     """
     targets: dict[str, SlotTarget] = defaultdict(SlotTarget)
     humans = _select(demands, TrafficClass.human)
@@ -186,9 +189,9 @@
     wanted: Mapping[LoadKey, int],
     accounts: FairnessState,
 ) -> dict[LoadKey, float]:
-    # A slot makes fewer tokens for an account whose prompts are long, so
-    # equal slots are not equal tokens. Whoever got less than its share of
-    # the recent tokens weighs more until it has caught up.
+    # A slot generates fewer tokens for an account with long prompts, so equal
+    # slots are not equal tokens. An account that got less than its share of the
+    # recent tokens has its weight raised until it has caught up.
     weights = {key: accounts.get_weight(key) for key in wanted}
     served = sum(accounts.served.get(key, 0.0) for key in wanted)
     if not served:
@@ -215,8 +218,9 @@
     if slots >= total:
         return wanted
     shares = {name: slots * count / total for name, count in wanted.items()}
-    # With fewer slots than daemons the one whose request has waited longest
-    # is next; without that a daemon that keeps its slot busy would keep it.
+    # With fewer slots than daemons, the daemon whose request has waited longest
+    # is next; otherwise a daemon that keeps its slot busy would never give it
+    # up.
     ages = {
         demand.requester: -demand.oldest.total_seconds() for demand in group
     }
--- a/quetzalcourse/coordination/slots/held_slots.py
+++ b/quetzalcourse/coordination/slots/held_slots.py
@@ -1,4 +1,4 @@
-"""Slots that requests of this daemon hold."""
+"""Slots held by the requests of this daemon."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class HeldSlots:
-    """Grants that were handed out and not yet given back.
+    """Tracks grants that have not been released yet.
 
-    Two grants of the same account are equal, so they are told apart by
-    identity; a grant is kept here as long as its identity is in use.
+    Two grants of the same account compare equal, so they are distinguished by
+    identity; each grant is kept here as long as its identity is in use.
     """
 
     def __init__(self) -> None:
-        """Begin with none held."""
+        """Create without grants."""
         self._charged: dict[int, float] = {}
         self._running: Counter[str] = Counter()
         self._training: dict[str, dict[int, Grant]] = defaultdict(dict)
 
     def running(self, upstream: str) -> int:
-        """Count the slots of an upstream that are held."""
+        """Return the number of held slots of an upstream."""
         return self._running[upstream]
 
     def add(self, grant: Grant, charged: float) -> None:
-        """Keep a grant.
+        """Add a grant.
 
-        :param charged: tokens that its account was charged in advance.
+        :param charged: tokens charged to its account in advance.
         """
         upstream = grant.upstream.name
         self._charged[id(grant)] = charged
@@ -40,9 +40,9 @@
             self._training[upstream][id(grant)] = grant
 
     def remove(self, grant: Grant) -> float | None:
-        """Forget a grant.
+        """Remove a grant.
 
-        :returns: what was charged, ``None`` if it was not held.
+        :returns: the tokens charged in advance, ``None`` if it was not held.
         """
         charged = self._charged.pop(id(grant), None)
         if charged is None:
@@ -53,10 +53,10 @@
         return charged
 
     def revoke_training(self, upstream: str, count: int) -> int:
-        """Revoke training's youngest grants, which lose the least.
+        """Revoke the most recent training grants, which lose the least work.
 
-        :param count: how many must be revoked, those before included.
-        :returns: how many were revoked now.
+        :param count: number that must be revoked, including earlier ones.
+        :returns: number of grants revoked by this call.
         """
         grants = self._training[upstream].values()
         missing = count - sum(grant.revoked.is_set() for grant in grants)
--- a/quetzalcourse/coordination/slots/local_slot_state.py
+++ b/quetzalcourse/coordination/slots/local_slot_state.py
@@ -1,4 +1,4 @@
-"""What one daemon runs and may run on one upstream."""
+"""State of the slots that this daemon uses on one upstream."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclass(slots=True)
 class LocalSlotState:
-    """A daemon's side of the exchange about one upstream.
+    """The requester's side of the slot protocol for one upstream.
 
     :param owner: incarnation of the owner, empty if there is none.
-    :param fallback: slots to use while no owner answers.
-    :param expires_at: when the allowance lapses.
-    :param first_asked_at: when the owner was asked first, after no need.
-    :param waiting: queueing times of the requests that ask for this one.
+    :param fallback: number of slots to use while no owner answers.
+    :param expires_at: when the allowance expires.
+    :param first_asked_at: when the owner was first asked after an idle period.
+    :param waiting: when each request that asks for this upstream was queued.
     """
 
     upstream: str
@@ -52,12 +52,12 @@
 
     @property
     def total(self) -> int:
-        """Requests that run."""
+        """Number of running requests."""
         return sum(self.running.values())
 
     @property
     def training(self) -> int:
-        """Training requests that run."""
+        """Number of running training requests."""
         return sum(
             count
             for key, count in self.running.items()
@@ -65,15 +65,15 @@
         )
 
     def update_owner(self, owner: str, fallback: int, now: timedelta) -> bool:
-        """Take the owner that the live members give.
+        """Apply the owner computed from the live members.
 
-        :returns: whether it is another one than before.
+        :returns: whether the owner changed.
         """
         self.fallback = fallback
         if owner == self.owner:
             return False
-        # Allowances are numbered by their owner: compared with the numbers
-        # of another one, the new owner's would look old and be dropped.
+        # Allowances are numbered by each owner: compared with the numbers of
+        # the previous owner, the new owner's would look old and be dropped.
         self.owner = owner
         self._sent_at.clear()
         self.first_asked_at = now
@@ -82,7 +82,7 @@
         return True
 
     def may_start(self, traffic_class: TrafficClass, now: timedelta) -> bool:
-        """Tell whether one more request may run."""
+        """Check whether one more request may run."""
         total, training = self.get_limits(now)
         if self.total >= total:
             return False
@@ -91,44 +91,45 @@
         return self.training < training
 
     def get_limits(self, now: timedelta) -> tuple[int, int]:
-        """Tell how many may run in all, and how many of training."""
+        """Return the limits on all running requests and on training."""
         if self.allowance is not None and now < self.expires_at:
             return self.allowance.total, self.allowance.training
         if now - self.reported_at >= self.terms.term:
-            # Nothing was asked lately, so silence says nothing yet.
+            # No report was sent recently, so a missing answer does not mean
+            # that the owner is unreachable.
             return 0, 0
         if self.owner and now - self.first_asked_at >= self.terms.term:
             return self.fallback, self.fallback
         return 0, 0
 
     def count_revoked(self, now: timedelta) -> int:
-        """Count the training requests that must give their slot back.
+        """Count the training requests that must release their slots.
 
-        A daemon that no owner answers keeps its fallback share only, since
-        the owner has given the rest to others by then.
+        A daemon that no owner answers keeps only its fallback share, since by
+        then the owner has granted the rest to others.
         """
         if self.allowance is not None and now < self.expires_at:
             return min(self.allowance.revoke, self.training)
         return max(self.training - self.get_limits(now)[1], 0)
 
     def on_started(self, key: LoadKey, now: timedelta) -> None:
-        """Count a request that begins to run."""
+        """Count a request that starts to run."""
         self.running[key] += 1
         if key.traffic_class is TrafficClass.human:
             self._human_starts += 1
             self._spares_until = now + self.terms.spare_hold
 
     def on_released(self, key: LoadKey, tokens: int) -> None:
-        """Count a request that runs no more."""
+        """Stop counting a request that finished."""
         self.running[key] -= 1
         if not self.running[key]:
             self.running.pop(key)
         self.tokens[key] += tokens
 
     def on_allowance(self, allowance: Allowance, now: timedelta) -> bool:
-        """Follow an allowance unless a newer one came before it.
+        """Apply an allowance unless a newer one arrived before it.
 
-        :returns: whether it was followed.
+        :returns: whether it was applied and has not expired.
         """
         sent = self._sent_at.get(allowance.answers)
         newest = self.allowance.number if self.allowance is not None else 0
@@ -139,7 +140,7 @@
         return now < self.expires_at
 
     def is_unanswered(self, now: timedelta) -> bool:
-        """Tell whether the last report or its answer seems to be lost."""
+        """Check whether the last report or its answer was probably lost."""
         answered = 0 if self.allowance is None else self.allowance.answers
         if answered >= self._sequence:
             return False
@@ -149,7 +150,7 @@
         )
 
     def is_idle(self, now: timedelta) -> bool:
-        """Tell whether the owner needs to hear nothing more."""
+        """Check whether the owner needs no further reports."""
         if self.running or self.waiting or self.tokens:
             return False
         if now < self._spares_until:
@@ -157,10 +158,10 @@
         return now >= self.expires_at or not self.get_limits(now)[0]
 
     def has_wanted_idle_slots(self, now: timedelta) -> bool:
-        """Tell whether others wait for slots that were given back here.
+        """Check whether others wait for slots that were released here.
 
         True only if the owner does not know yet: a daemon that reported
-        whenever others wait would report without end.
+        whenever others wait would report endlessly.
         """
         if self.allowance is None or now >= self.expires_at:
             return False
@@ -169,13 +170,13 @@
         return self.total < self._reported_running
 
     def must_confirm_reduction(self, now: timedelta) -> bool:
-        """Tell whether the owner waits to hear that it took slots back."""
+        """Check whether the owner awaits confirmation of a slot reduction."""
         if self.allowance is None or now >= self.expires_at:
             return False
         return self.allowance.total < self._reported_held
 
     def make_report(self, now: timedelta) -> SlotReport:
-        """Write the next report to the owner."""
+        """Create the next report to the owner."""
         if now - self.reported_at >= self.terms.term:
             self.first_asked_at = now
         self._sequence += 1
--- a/quetzalcourse/coordination/slots/owned_slots.py
+++ b/quetzalcourse/coordination/slots/owned_slots.py
@@ -1,4 +1,4 @@
-"""The upstreams that this daemon owns, and its answers to the others."""
+"""The upstreams that this daemon owns, and its answers to other daemons."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class OwnedSlots:
-    """Owners of all upstreams that fall to this daemon.
+    """Manages the slot owners of all upstreams assigned to this daemon.
 
     :param own: this daemon.
     """
 
     def __init__(self, own: Member, terms: SlotTerms) -> None:
-        """Begin without upstreams."""
+        """Create without upstreams."""
         self._own = own
         self._terms = terms
         self._upstreams: dict[str, Upstream] = {}
@@ -40,11 +40,11 @@
         self._live_incarnations: set[str] = set()
 
     def names(self) -> tuple[str, ...]:
-        """Name the upstreams that are owned here."""
+        """Return the names of the upstreams owned here."""
         return tuple(self._owners)
 
     def find(self, upstream: str) -> SlotOwner | None:
-        """Find the state of an upstream that is owned here."""
+        """Return the owner state of an upstream owned here."""
         return self._owners.get(upstream)
 
     def on_manifest(
@@ -52,7 +52,7 @@
         upstreams: Mapping[str, Upstream],
         weights: Mapping[int, float],
     ) -> None:
-        """Take the upstreams of the own data centre; all if it has no name.
+        """Select the upstreams of this data centre, or all if it has no name.
 
         :param weights: account id to weight.
         """
@@ -64,9 +64,9 @@
         self._weights = weights
 
     def on_members(self, members: list[Member], now: timedelta) -> None:
-        """Begin and end ownership as the live members have it.
+        """Start and end ownership according to the live members.
 
-        :param members: live members of the own data centre.
+        :param members: live members of this daemon's data centre.
         """
         for name, upstream in self._upstreams.items():
             owner = find_owner(name, members)
@@ -91,10 +91,11 @@
         reports: Iterable[SlotReport],
         now: timedelta,
     ) -> AllowancesByRequester:
-        """Take a daemon's reports.
+        """Process the reports of a daemon.
 
         A report on an upstream that is not owned here gets no answer: its
-        sender has heard of other members and will ask the right owner.
+        sender has a different member list and will ask the right owner once it
+        is up to date.
 
         :returns: allowances to send, by incarnation.
         """
@@ -109,7 +110,7 @@
         return answers
 
     def decide_all(self, now: timedelta) -> AllowancesByRequester:
-        """Divide the slots anew where allowances have lapsed.
+        """Recompute the division of all upstreams, for allowances that expired.
 
         :returns: allowances to send, by incarnation.
         """
@@ -120,8 +121,8 @@
         return answers
 
     def _find_takeover_end(self, now: timedelta) -> timedelta:
-        # Nobody but this daemon was ever seen here, so nobody holds an
-        # allowance; waiting would only delay the first request.
+        # No other daemon was ever seen here, so none holds an allowance;
+        # waiting would only delay the first request.
         if self._live_incarnations <= {self._own.incarnation}:
             return now
         return now + self._terms.term
@@ -131,7 +132,7 @@
     upstream: Upstream,
     members: list[Member],
 ) -> dict[str, int]:
-    """List the fallback shares of the members, by incarnation."""
+    """Return the fallback shares of the members, by incarnation."""
     ranked = rank_members(upstream.name, members)
     return {
         member.incarnation: count_fallback_slots(
--- a/quetzalcourse/coordination/slots/ownership.py
+++ b/quetzalcourse/coordination/slots/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership: which daemon grants the slots of an upstream."""
+"""Assignment of each upstream to the daemon that grants its slots."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def hash_name(name: str) -> int:
-    """Shorten a name to the 32 bits that messages carry."""
+    """Hash a name to the 32 bits that messages carry."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 def rank_members(upstream: str, members: Sequence[Member]) -> list[Member]:
     """Sort members by rendezvous hashing, the owner first.
 
-    Daemons with the same list agree without a message, and a change of the
-    list moves only the upstreams of the daemon that came or went. A leaving
-    member owns nothing unless all are leaving.
+    Daemons with the same member list agree without a message, and a change of
+    the list moves only the upstreams of the daemon that joined or left. A
+    leaving member owns nothing unless all are leaving.
 
     :param members: live members of the upstream's data centre.
     """
@@ -33,19 +33,19 @@
 
 
 def find_owner(upstream: str, members: Sequence[Member]) -> Member | None:
-    """Name the owner of an upstream, ``None`` if there is no member."""
+    """Return the owner of an upstream, ``None`` if there is no member."""
     return min(members, key=partial(rendezvous_key, upstream), default=None)
 
 
 def count_fallback_slots(slots: int, rank: int, members: int) -> int:
     """Count the slots that a daemon may use while no owner answers.
 
-    All shares together stay below a quarter of the slots (but for upstreams
-    of less than four), which bounds how far an engine is overfilled when
+    All shares together stay below a quarter of the slots (except for upstreams
+    with fewer than four), which bounds how far an engine is overcommitted while
     the last owner's allowances are still in use.
 
-    :param rank: place of the daemon in :func:`rank_members`.
-    :param members: how many daemons share.
+    :param rank: position of the daemon in :func:`rank_members`.
+    :param members: number of daemons that share.
     """
     shared = max(1, slots // FALLBACK_DIVISOR)
     each, rest = divmod(shared, max(members, 1))
@@ -53,6 +53,6 @@
 
 
 def rendezvous_key(upstream: str, member: Member) -> tuple[bool, int]:
-    """Weigh a member for one upstream; the lightest owns it."""
+    """Compute a member's sort key for one upstream; the lowest key owns it."""
     name = f'{upstream}/{member.incarnation}'
     return member.leaving, xxhash.xxh3_64_intdigest(name.encode())
--- a/quetzalcourse/coordination/slots/requester_state.py
+++ b/quetzalcourse/coordination/slots/requester_state.py
@@ -1,4 +1,4 @@
-"""What an owner knows of one daemon that uses its upstream."""
+"""An owner's state of one daemon that uses its upstream."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentAllowance:
-    """Allowance that the daemon may be using.
+    """Allowance that the daemon may still be using.
 
-    :param expires_at: when it can't be in use any more.
+    :param expires_at: when it can no longer be in use.
     """
 
     number: int
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True)
 class RequesterState:
-    """One daemon's reports and the allowances that were sent to it.
+    """One daemon's last report and the allowances sent to it.
 
     :param name: incarnation of the daemon.
-    :param reported_at: when its last report came.
+    :param reported_at: when its last report arrived.
     :param answered_at: when the last allowance was sent to it.
     """
 
@@ -54,10 +54,10 @@
         now: timedelta,
         term: timedelta,
     ) -> RequesterState:
-        """Begin with the first report, which tells what it still holds.
+        """Create from the first report, which states what the daemon holds.
 
-        An owner before this one may have allowed that, and nothing is free
-        that it allowed until the allowance lapses.
+        A previous owner may have granted those slots, and none of them is free
+        until that allowance expires.
         """
         held = Allowance(
             report.upstream,
@@ -73,11 +73,11 @@
 
     @property
     def running(self) -> int:
-        """Requests that run, by its last report."""
+        """Number of running requests, according to the last report."""
         return sum(load.running for load in self.report.loads)
 
     def count_running(self, traffic_class: TrafficClass) -> int:
-        """Requests of one class that run, by its last report."""
+        """Count running requests of one class, according to the last report."""
         return sum(
             load.running
             for load in self.report.loads
@@ -85,7 +85,7 @@
         )
 
     def count_waiting(self, traffic_class: TrafficClass) -> int:
-        """Requests of one class that wait, by its last report."""
+        """Count waiting requests of one class, according to the last report."""
         return sum(
             load.waiting
             for load in self.report.loads
@@ -93,7 +93,7 @@
         )
 
     def accept(self, report: SlotReport, now: timedelta) -> bool:
-        """Take a report unless a newer one came before it."""
+        """Accept a report unless a newer one arrived before it."""
         if report.sequence <= self.report.sequence:
             return False
         self.report = report
@@ -106,10 +106,10 @@
         return True
 
     def count_committed(self, now: timedelta) -> int:
-        """Count the slots that it may be using.
+        """Count the slots that the daemon may be using.
 
-        Messages are lost and overtake one another, so the daemon may follow
-        any allowance since the newest that it confirmed.
+        Messages can be lost or reordered, so the daemon may be applying any
+        allowance since the newest one that it confirmed.
         """
         totals = [
             sent.total for sent in self.sent_allowances if now < sent.expires_at
@@ -117,7 +117,7 @@
         return max(totals + [self.running])
 
     def count_committed_training(self, now: timedelta) -> int:
-        """Count the slots that its training may be using."""
+        """Count the slots that the daemon's training may be using."""
         counts = [
             sent.training
             for sent in self.sent_allowances
@@ -126,7 +126,7 @@
         return max(counts + [self.count_running(TrafficClass.training)])
 
     def list_demands(self, now: timedelta) -> list[AccountDemand]:
-        """List what each account could use through this daemon."""
+        """List the slots that each account could use through this daemon."""
         since_report = now - self.reported_at
         return [
             AccountDemand(
@@ -144,10 +144,10 @@
         now: timedelta,
         renewal: timedelta,
     ) -> bool:
-        """Tell whether its report needs an answer.
+        """Check whether the daemon's report needs an answer.
 
-        Most reports ask for nothing that changed; an answer only moves the
-        end of the term, which the next renewal does as well.
+        Most reports ask for no change; an answer would only extend the term,
+        which the next renewal does as well.
         """
         current = self.current
         if (target.human, target.training) != (current.human, current.training):
@@ -166,10 +166,11 @@
         *,
         contended: bool,
     ) -> Allowance:
-        """Make the next allowance.
+        """Create the next allowance.
 
-        It ends by the daemon's clock one term after the report it answers
-        was sent; counted from that report's arrival it is over for sure.
+        On the daemon's clock it expires one term after the daemon sent the
+        report that it answers; counted from the arrival of that report, it has
+        certainly expired.
         """
         self.current = Allowance(
             self.report.upstream,
--- a/quetzalcourse/coordination/slots/slot_owner.py
+++ b/quetzalcourse/coordination/slots/slot_owner.py
@@ -1,4 +1,4 @@
-"""The owner of an upstream: which daemon may run how much on it."""
+"""The owner of an upstream, which decides how much each daemon may run."""
 
 from __future__ import annotations
 
@@ -33,11 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """What each daemon should come to have.
+    """Planned division of the slots.
 
-    :param slots: slots to divide.
-    :param training: most of them that training may have.
-    :param contended: whether somebody waits for what others have idle.
+    :param slots: number of slots to divide.
+    :param training: most of them that training may use.
+    :param targets: slots that each daemon should hold.
+    :param revoked: training requests that each daemon must stop.
+    :param contended: whether some daemon waits for slots that others hold idle.
     """
 
     slots: int
@@ -49,7 +51,7 @@
 
 @dataclass(slots=True)
 class _Capacity:
-    """Slots in all, and how many of them for training."""
+    """Number of slots in total, and of those for training."""
 
     total: int
     training: int
@@ -58,14 +60,14 @@
     def committed_by(
         cls, requester: RequesterState, now: timedelta
     ) -> _Capacity:
-        """Read what a daemon may be using."""
+        """Return the slots that a daemon may be using."""
         return cls(
             requester.count_committed(now),
             requester.count_committed_training(now),
         )
 
     def subtract(self, before: _Capacity, after: _Capacity) -> None:
-        """Take off what a daemon was given."""
+        """Subtract the growth of a daemon's commitment."""
         self.total -= after.total - before.total
         self.training -= after.training - before.training
 
@@ -73,16 +75,16 @@
 class SlotOwner:
     """State machine that grants the slots of one upstream.
 
-    Every report tells a daemon's whole state and every allowance replaces
-    the one before, so a message that is lost, late or doubled does no harm.
-    Until the allowances of the owner before have lapsed, daemons keep what
-    they hold and get no more than their fallback share.
+    Every report carries a daemon's full state and every allowance replaces the
+    previous one, so lost, late or duplicate messages do no harm. Until the
+    allowances of the previous owner have expired, daemons keep what they hold
+    and get no more than their fallback share.
 
-    :param upstream: the upstream, as the manifest describes it.
-    :param takeover_ends_at: time since boot until which an owner before
-        may have allowances in use.
-    :param fallback_shares: slots that a live daemon uses without an owner,
-        by incarnation.
+    :param upstream: the upstream, as configured in the manifest.
+    :param takeover_ends_at: time since boot until which allowances of a
+        previous owner may be in use.
+    :param fallback_shares: number of slots that each live daemon uses if no
+        owner answers it, by incarnation.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
         takeover_ends_at: timedelta,
         fallback_shares: Mapping[str, int],
     ) -> None:
-        """Begin without reports."""
+        """Create without reports."""
         self.foreign_slots = 0.0
         self._upstream = upstream
         self._terms = terms
@@ -108,7 +110,7 @@
         upstream: Upstream,
         weights: Mapping[int, float],
     ) -> None:
-        """Take the upstream's new slots and headroom, and the weights.
+        """Apply the upstream's new slots and headroom, and the account weights.
 
         :param weights: account id to weight.
         """
@@ -116,7 +118,7 @@
         self._weights = weights
 
     def on_members(self, fallback_shares: Mapping[str, int]) -> None:
-        """Take the fallback shares of the daemons that are live now."""
+        """Apply the fallback shares of the daemons that are live now."""
         self._fallback_shares = fallback_shares
 
     def on_report(
@@ -125,10 +127,10 @@
         report: SlotReport,
         now: timedelta,
     ) -> bool:
-        """Take a daemon's report.
+        """Process a daemon's report.
 
         :param incarnation: incarnation of the daemon.
-        :returns: whether it was newer than those before.
+        :returns: whether it was newer than all earlier reports.
         """
         requester = self._requesters.get(incarnation)
         if requester is None:
@@ -142,15 +144,15 @@
         return True
 
     def on_load(self, busy: int, now: timedelta) -> None:
-        """Compare what the engine says it holds with what was allowed.
+        """Compare the engine's load with the committed slots.
 
-        When daemons can't hear each other, two of them may own an upstream.
-        Each then sees in the engine's load what the other one granted, and
-        makes room for it. Half of the difference a time lets both settle
-        where a full correction would have them take turns. The report lags,
-        so it is compared with the most that was allowed of late.
+        During a network partition, two daemons may own the same upstream. Each
+        then sees in the engine's load what the other granted, and reduces its
+        own slots accordingly. Correcting half of the difference at a time lets
+        both converge, where a full correction would make them oscillate. The
+        load report lags, so it is compared with the largest recent commitment.
 
-        :param busy: requests that run or wait inside the engine.
+        :param busy: number of requests that run or wait inside the engine.
         """
         self._recent_commitments = [
             (at, committed)
@@ -178,9 +180,10 @@
         now: timedelta,
         reporters: frozenset[str] = frozenset(),
     ) -> dict[str, Allowance]:
-        """Divide the slots anew.
+        """Recompute the division of the slots.
 
-        :param reporters: daemons that wait for an answer in any case.
+        :param reporters: daemons that have just reported and may need an
+            answer.
         :returns: allowances to send, by incarnation.
         """
         self._drop_expired_requesters(now)
@@ -249,9 +252,10 @@
         ]
 
     def _drop_expired_requesters(self, now: timedelta) -> None:
-        # A daemon that died sends no last report, and its slots would be
-        # lost for good. One that is only cut off has by then lapsed on its
-        # own clock and revoked its training above the fallback share.
+        # A daemon that died sends no last report, and its slots would never be
+        # freed. A daemon that is only partitioned has by then seen its
+        # allowance expire on its own clock and has revoked its training above
+        # the fallback share.
         limit = self._terms.term + self._terms.renewal
         for name, requester in tuple(self._requesters.items()):
             gone = name not in self._fallback_shares
@@ -285,8 +289,8 @@
             share = self._fallback_shares.get(requester.name, 0)
             max_total = max(committed.total, share)
             training = max(committed.training, share)
-        # Training that runs on above its target keeps its slots for a while;
-        # humans get theirs beside them, not after them.
+        # Training that still runs above its target keeps its slots for a while;
+        # human requests get their slots in addition, without waiting for it.
         above = requester.count_running(TrafficClass.training) - target.training
         human = min(target.human + max(above, 0), max_total)
         return SlotTarget(
@@ -308,8 +312,8 @@
             + requester.count_waiting(TrafficClass.human)
             for requester in self._requesters.values()
         )
-        # Half of the headroom may fill up before training is cut: a stream
-        # that is cut at every human request would never get anywhere.
+        # Half of the headroom may fill up before training is revoked: a stream
+        # that is interrupted by every human request would make no progress.
         capacity = max(slots - humans - math.ceil(headroom / 2), 0)
         excess = sum(running.values()) - capacity
         revoked: dict[str, int] = {}
@@ -341,7 +345,7 @@
     training: int, targets: Mapping[str, SlotTarget]
 ) -> None:
     # Samples that start and end one by one would each cost a report and an
-    # answer; while nobody waits, a few slots more cost nothing.
+    # answer; while no daemon waits, a few extra slots cost nothing.
     left = training - sum(target.training for target in targets.values())
     for target in targets.values():
         if target.training:
@@ -371,7 +375,7 @@
         if target.training > current.training:
             return True
     if not contended:
-        # Idle slots that nobody misses stay where they are.
+        # Idle slots that no other daemon needs stay where they are.
         return False
     if target.total < current.total:
         return True
--- a/quetzalcourse/coordination/slots/standalone.py
+++ b/quetzalcourse/coordination/slots/standalone.py
@@ -1,4 +1,4 @@
-"""A daemon by itself, for embedders that run only one."""
+"""Slot policy of a standalone daemon, for embedders that run only one."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class StandaloneMembers:
-    """Port ``MemberView`` with this daemon only, in every data centre."""
+    """``MemberView`` that lists only this daemon, in every data centre."""
 
     def __init__(self) -> None:
-        """Begin, and never change."""
+        """Create the constant view."""
         self.own = STANDALONE_MEMBER
 
     def list_live(self, data_centre: str = '') -> list[Member]:
@@ -30,32 +30,32 @@
         return [self.own]
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Take no note: nothing changes."""
+        """Ignore the listener, since the members never change."""
 
 
 class NullSlotLink:
-    """Port ``SlotLink`` to nobody."""
+    """``SlotLink`` without peers."""
 
     def send_reports(
         self,
         owner: Member,
         reports: tuple[SlotReport, ...],
     ) -> None:
-        """Lose reports."""
+        """Discard reports."""
 
     def send_allowances(
         self,
         requester: Member,
         allowances: tuple[Allowance, ...],
     ) -> None:
-        """Lose allowances."""
+        """Discard allowances."""
 
     def subscribe(
         self,
         on_reports: Callable[[Member, tuple[SlotReport, ...]], None],
         on_allowances: Callable[[Member, tuple[Allowance, ...]], None],
     ) -> None:
-        """Take no note: nothing is ever received."""
+        """Ignore the handlers, since no message ever arrives."""
 
 
 def build_standalone_policy(clock: Clock) -> DistributedSlotPolicy:
--- a/quetzalcourse/coordination/slots/upstream_choice.py
+++ b/quetzalcourse/coordination/slots/upstream_choice.py
@@ -1,4 +1,4 @@
-"""Which owners a waiting request asks for a slot."""
+"""Selection of the upstreams whose owners are asked for a slot."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def is_next_ask_due(waiter: SlotWaiter, now: timedelta) -> bool:
-    """Tell whether a request has waited long enough to ask once more."""
+    """Check whether a request has waited long enough to ask another owner."""
     asked = len(waiter.asked)
     if asked >= MAX_ASKED_UPSTREAMS:
         return False
@@ -41,13 +41,14 @@
     own: Member,
     get_slot_state: Callable[[str], LocalSlotState],
 ) -> str | None:
-    """Choose the next upstream to ask.
+    """Choose the next upstream to ask for a slot.
 
-    Upstreams of the own data centre come first; after some of them others
-    follow, cheapest first. One without an owner can't be asked.
+    Upstreams of this daemon's data centre come first; after a few of them,
+    upstreams of other data centres follow, cheapest first. An upstream without
+    an owner can't be asked.
 
     :param own: this daemon.
-    :param get_slot_state: finds what this daemon has at an upstream.
+    :param get_slot_state: returns this daemon's slot state of an upstream.
     """
     states = [
         get_slot_state(name)
@@ -73,10 +74,10 @@
     own: str,
     state: LocalSlotState,
 ) -> float:
-    # Each pair of a daemon and an owner exchanges messages as long as it is
-    # in use. Spread over all owners, they would take more than all traffic
-    # for control may; so a daemon first fills what it owns, then what it
-    # uses anyway, and spreads with its load.
+    # Each pair of a daemon and an owner exchanges messages as long as it is in
+    # use. Spread over all owners, these messages would exceed the limit on
+    # control traffic; so a daemon first fills the upstreams that it owns, then
+    # those that it already uses, and spreads out as its load grows.
     penalty = 0.0
     if state.owner != own:
         penalty = (
