--- a/quetzalcourse/tests/coordination/slots/admission_tests.py
+++ b/quetzalcourse/tests/coordination/slots/admission_tests.py
@@ -1,4 +1,4 @@
-"""Admission in one daemon: limits, deadlines, overload and fairness."""
+"""Tests of one daemon's admission: limits, deadlines, overload, fairness."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     concurrent: int = 100,
     queued: int = 100,
 ) -> Holder:
-    """Start a lone daemon with four slots and one limited account."""
+    """Start a standalone daemon with four slots and one limited account."""
     account = ClientAccount('reader', 1.0, rate, concurrent, queued)
     manifest = make_manifest(
         make_upstream(), client_accounts={'reader': account}
@@ -38,16 +38,17 @@
 
 
 async def read_refusal(task: asyncio.Task[None]) -> RefusalCode:
-    """Tell why a request was refused."""
+    """Return the code of a request's refusal."""
     with pytest.raises(RefusedError) as caught:
         await task
     assert caught.value.refusal.not_run
     return caught.value.refusal.code
 
 
-async def test_cancelled_after_grant_gives_slot_back() -> None:
-    # The caller hangs up in the very step in which its slot was granted.
-    # Nobody knows of the slot any more, and the engine stays one short.
+async def test_request_cancelled_after_grant_releases_slot() -> None:
+    # Guards against a lost slot: the caller disconnects in the same event loop
+    # iteration in which its slot is granted, nobody else knows of the slot, and
+    # the engine stays one short.
     holder = start_daemon()
     for _ in range(4):
         holder.ask(HUMAN)
@@ -61,15 +62,16 @@
     await holder.stop()
 
 
-async def test_cancelled_before_grant_is_skipped() -> None:
-    # The caller hangs up, and a slot is released before its task has run.
+async def test_request_cancelled_before_grant_is_skipped() -> None:
+    # The caller disconnects, and a slot is released before the cancelled task
+    # has run. The slot must go to the next request.
     holder = start_daemon()
     for _ in range(4):
         holder.ask(HUMAN)
     await settle()
-    gone, next_one = holder.ask(HUMAN), holder.ask(HUMAN)
+    disconnected, next_one = holder.ask(HUMAN), holder.ask(HUMAN)
     await settle()
-    gone.cancel()
+    disconnected.cancel()
     holder.end_one()
     await settle()
     assert len(holder.grants) == 4
@@ -78,9 +80,9 @@
     await holder.stop()
 
 
-async def test_deadline_ends_waiting_at_once() -> None:
-    # All slots are taken for longer than the caller waits. It learns so
-    # when its time is over, and its request is never sent.
+async def test_queued_request_is_refused_at_deadline() -> None:
+    # All slots stay taken for longer than the caller waits. The request must be
+    # refused at its deadline and never sent.
     holder = start_daemon()
     for _ in range(4):
         holder.ask(HUMAN)
@@ -104,7 +106,7 @@
         ({'queued': 2}, 7, RefusalCode.overloaded),
     ],
 )
-async def test_limits_refuse_the_request_above(
+async def test_request_above_limit_is_refused(
     limits: dict[str, int],
     asked: int,
     code: RefusalCode,
@@ -122,7 +124,7 @@
     await holder.stop()
 
 
-async def test_rate_is_allowed_again_after_the_time_told() -> None:
+async def test_rate_limited_account_is_admitted_after_two_seconds() -> None:
     holder = start_daemon(rate=0.5)
     holder.ask(HUMAN)
     await settle()
@@ -144,13 +146,14 @@
         ([(HUMAN, 9), (HUMAN, 5), (HUMAN, 7)], TRAINING, 3),
     ],
 )
-async def test_full_queue_drops_training_then_earliest_deadline(
+async def test_full_queue_rejects_training_then_earliest_deadline(
     waiting: list[tuple[TrafficClass, int]],
     arriving: TrafficClass,
     refused: int,
 ) -> None:
-    # More requests come than the daemon may keep. Training is shed first,
-    # and what would expire first anyway.
+    # More requests arrive than the daemon may queue. Training is rejected
+    # first, then the request with the earliest deadline, which would expire
+    # first anyway.
     holder = start_daemon()
     holder.admission._max_waiting = 3
     for _ in range(4):
@@ -168,8 +171,9 @@
     await holder.stop()
 
 
-async def test_flooding_account_hurts_itself_only() -> None:
-    # One account asks for ten times as much as the other and came first.
+async def test_flooding_account_does_not_delay_others() -> None:
+    # One account sends five times as many requests as the other, and sends them
+    # first.
     holder = start_daemon()
     for _ in range(4):
         holder.ask(TRAINING, account='busy')
@@ -189,7 +193,7 @@
 
 
 async def test_second_release_frees_nothing() -> None:
-    # A holder that releases twice would let the engine be overfilled.
+    # A second release of the same grant would let the engine be overcommitted.
     holder = start_daemon()
     for _ in range(6):
         holder.ask(HUMAN)
--- a/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_owner_tests.py
@@ -1,4 +1,4 @@
-"""The owner's decisions, message by message."""
+"""Tests of the slot owner's decisions for each message."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def make_key(account: int, *, human: bool = False) -> LoadKey:
-    """Name an account's training, or its humans."""
+    """Build the load key of an account's training or human requests."""
     traffic_class = TrafficClass.human if human else TrafficClass.training
     return LoadKey(traffic_class, account)
 
@@ -47,7 +47,7 @@
     applied: int = 0,
     **changes: int,
 ) -> SlotReport:
-    """Make a report of one account's training, or its humans."""
+    """Build a report of one account's training or human requests."""
     human = bool(changes.get('human', 0))
     held = changes.get('held', 0)
     load = AccountLoad(make_key(1, human=human), running, waiting, ZERO, 0)
@@ -63,7 +63,7 @@
 
 
 def make_owner(takeover_ends_at: timedelta = ZERO) -> SlotOwner:
-    """Make the owner of four slots."""
+    """Build the owner of four slots."""
     return SlotOwner(make_upstream(), TERMS, takeover_ends_at, SHARES)
 
 
@@ -73,7 +73,7 @@
     report: SlotReport,
     now: timedelta = ZERO,
 ) -> dict[str, int]:
-    """Hand a report over and tell who is allowed how much."""
+    """Process a report and return the slots allowed to each daemon."""
     if not owner.on_report(name, report, now):
         return {}
     sent = owner.decide(now, frozenset((name,)))
@@ -82,8 +82,9 @@
 
 @pytest.mark.parametrize('human', [0, 1])
 def test_lowered_allowance_counts_until_confirmed(human: int) -> None:
-    # The message that lowers an allowance is lost. The daemon still uses
-    # the slots, and whoever got them too would wait inside the engine.
+    # Guards against double allocation: the message that lowers an allowance is
+    # lost, the daemon still uses the slots, and the requests of whoever got
+    # them too would queue inside the engine.
     owner = make_owner()
     first = make_report(1, 0, 4, human=human)
     assert report_and_decide(owner, 'a', first) == {'a': 4}
@@ -99,12 +100,12 @@
     ('seconds', 'allowed'),
     [(1.0, 0), (5.9, 0), (8.0, 4)],
 )
-def test_silent_daemon_is_forgotten_after_its_term(
+def test_silent_daemon_is_removed_after_its_term(
     seconds: float,
     allowed: int,
 ) -> None:
-    # A daemon dies with slots in use and says nothing. They are free for
-    # the others once its allowance has lapsed for sure.
+    # A daemon dies while it holds slots and sends no last report. Its slots are
+    # free for others once its allowance has certainly expired.
     owner = make_owner()
     report_and_decide(owner, 'a', make_report(1, 0, 4))
     now = timedelta(seconds=seconds)
@@ -117,21 +118,21 @@
     ('held', 'waiting', 'allowed'),
     [(0, 4, 1), (3, 1, 3), (2, 0, 0)],
 )
-def test_new_owner_gives_what_is_held_and_the_small_share(
+def test_new_owner_grants_held_slots_or_fallback_share(
     held: int,
     waiting: int,
     allowed: int,
 ) -> None:
-    # The owner before this one granted slots that this one knows nothing
-    # of. Granting all four again would run up to eight.
+    # The previous owner granted slots that this one does not know of. Granting
+    # all four again would run up to eight requests.
     owner = make_owner(takeover_ends_at=TERMS.term)
     report = make_report(1, held if waiting else 0, waiting, held=held)
     assert report_and_decide(owner, 'a', report) == {'a': allowed}
 
 
-def test_old_report_changes_nothing() -> None:
-    # Messages overtake one another. A report from before a daemon filled
-    # its slots would make them look free.
+def test_outdated_report_is_ignored() -> None:
+    # Messages are reordered. A report sent before a daemon filled its slots
+    # would make them look free.
     owner = make_owner()
     report_and_decide(owner, 'a', make_report(2, 0, 4))
     assert not report_and_decide(owner, 'a', make_report(1, 0, 0))
@@ -146,7 +147,7 @@
         ({1: 100.0, 2: 300.0}, (3, 1)),
     ],
 )
-def test_division_makes_up_for_tokens(
+def test_division_compensates_for_served_tokens(
     served: dict[int, float],
     shares: tuple[int, int],
 ) -> None:
@@ -159,9 +160,9 @@
     assert (targets['a'].training, targets['b'].training) == shares
 
 
-def test_slot_goes_to_the_daemon_that_waited_longest() -> None:
-    # One slot and two daemons: the one that keeps its slot busy would keep
-    # it for ever.
+def test_scarce_slot_goes_to_longest_waiting_daemon() -> None:
+    # One slot and two daemons: a daemon that keeps its slot busy would
+    # otherwise keep it forever.
     demands = [
         AccountDemand('a', make_key(1), 2, timedelta(seconds=1)),
         AccountDemand('b', make_key(1), 1, timedelta(seconds=2)),
@@ -170,7 +171,7 @@
     assert targets['b'].training == 1
 
 
-def test_weights_divide_what_is_scarce() -> None:
+def test_scarce_slots_are_divided_by_weight() -> None:
     demands = [
         AccountDemand('a', make_key(1), 40, ZERO),
         AccountDemand('a', make_key(2), 40, ZERO),
@@ -181,7 +182,7 @@
     assert (targets['b'].human, targets['a'].training) == (3, 8)
 
 
-def test_messages_survive_the_wire() -> None:
+def test_messages_round_trip_through_encoding() -> None:
     ids = {'engine': 7}
     load = AccountLoad(make_key(9, human=True), 1, 2, timedelta(seconds=3), 4)
     report = SlotReport('engine', 1, 2, 3, 2, 1, (load,))
--- a/quetzalcourse/tests/coordination/slots/slot_sharing_tests.py
+++ b/quetzalcourse/tests/coordination/slots/slot_sharing_tests.py
@@ -1,4 +1,4 @@
-"""Daemons that share an upstream: deaths, cuts, pauses and joins."""
+"""Tests of daemons that share an upstream: crashes, partitions and joins."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 async def fill_with_training(deployment: Deployment, requests: int) -> None:
-    """Let every daemon ask for training slots."""
+    """Request training slots on every daemon."""
     for holder in deployment.holders:
         for _ in range(requests):
             holder.ask(TRAINING)
     await deployment.pass_time(2 * RECOVERY_SECONDS)
 
 
-async def test_one_daemon_needs_no_messages() -> None:
+async def test_single_daemon_sends_no_messages() -> None:
     deployment = Deployment(1, MANIFEST)
     holder = deployment.holders[0]
     for _ in range(SLOTS):
@@ -60,7 +60,8 @@
 
 async def test_slots_follow_demand_to_one_daemon() -> None:
     # All samples of a step come from the daemon that runs it. With a fixed
-    # share for each daemon most slots would stand idle beside its queue.
+    # share per daemon, most slots would stay idle while that daemon's queue is
+    # full.
     deployment = Deployment(3, MANIFEST)
     await deployment.pass_time(RECOVERY_SECONDS)
     for _ in range(SLOTS):
@@ -71,8 +72,8 @@
 
 
 async def test_spare_slot_serves_human_without_a_round_trip() -> None:
-    # A human who waits for a message to the owner and back is slower by it
-    # at every request, and waits for seconds if the message is lost.
+    # A round trip to the owner delays each human request, and by seconds if the
+    # message is lost.
     deployment = Deployment(2, MANIFEST)
     await deployment.pass_time(RECOVERY_SECONDS)
     for holder in deployment.holders:
@@ -88,9 +89,9 @@
     await deployment.stop()
 
 
-async def test_lost_request_for_a_slot_is_repeated_soon() -> None:
-    # The message that asks for a human's slot is lost. Slots are free, but
-    # the human would wait for the next renewal, seconds later.
+async def test_lost_slot_request_is_resent_before_renewal() -> None:
+    # The message that requests a slot for a human is lost. Although slots are
+    # free, the request would wait for the next renewal, seconds later.
     deployment = Deployment(2, MANIFEST)
     await deployment.pass_time(RECOVERY_SECONDS)
     owner = find_owner_daemon(deployment)
@@ -105,9 +106,10 @@
     await deployment.stop()
 
 
-async def test_humans_take_slots_back_from_training() -> None:
-    # Training fills all but the headroom. More humans than that come at
-    # once; they would wait for the end of long training streams.
+async def test_human_requests_revoke_training_slots() -> None:
+    # Training fills all slots except the headroom. More human requests arrive
+    # at once than fit into the headroom; without revocation they would wait for
+    # the end of long training streams.
     deployment = Deployment(2, MANIFEST)
     await fill_with_training(deployment, SLOTS)
     for holder in deployment.holders:
@@ -119,9 +121,9 @@
     await deployment.stop()
 
 
-async def test_owner_death_loses_no_slot_and_overfills_nothing() -> None:
+async def test_owner_death_neither_loses_nor_overcommits_slots() -> None:
     # The owner dies while every slot is in use. A new owner that granted at
-    # once would grant what others still use; one that waits for the dead
+    # once would grant slots that others still use; one that waited for the dead
     # daemon's requests would lose their slots for good.
     deployment = Deployment(3, MANIFEST)
     await fill_with_training(deployment, SLOTS)
@@ -138,9 +140,9 @@
     await deployment.stop()
 
 
-async def test_cut_daemon_keeps_a_small_share_only() -> None:
-    # A daemon hears the owner no more, though both are live. It must not go
-    # on with slots that the owner gives to others after a while.
+async def test_partitioned_daemon_keeps_only_fallback_share() -> None:
+    # A daemon no longer hears the owner, though both are live. It must not go
+    # on using slots that the owner grants to others after a while.
     deployment = Deployment(2, MANIFEST)
     await fill_with_training(deployment, SLOTS)
     owner = find_owner_daemon(deployment)
@@ -155,10 +157,11 @@
     await deployment.stop()
 
 
-async def test_two_owners_share_what_the_engine_reports() -> None:
-    # The daemons can't hear each other and each takes itself for the only
-    # one. Together they run up to twice what the engine can, and callers
-    # wait inside it, until its load report tells them of each other.
+async def test_two_owners_converge_on_reported_load() -> None:
+    # The daemons can't hear each other and each believes that it is the only
+    # one. Together they run up to twice what the engine can, and requests queue
+    # inside it, until each sees the other's requests in the engine's load
+    # report.
     deployment = Deployment(2, MANIFEST)
     for holder in deployment.holders:
         holder.follow(MANIFEST, [holder.member])
@@ -177,36 +180,41 @@
     await deployment.stop()
 
 
-async def test_far_slots_follow_when_near_ones_are_taken() -> None:
-    # The own data centre is full. Its callers would wait although another
-    # data centre has free slots; the cheapest of those comes first.
+async def test_remote_slots_are_used_when_local_ones_are_taken() -> None:
+    # The data centre of the caller is full. Its requests would wait although
+    # another data centre has free slots; the cheapest of those comes first.
     far = make_upstream('far', data_centre='vannes-c', price_per_hour=2.0)
     cheap = make_upstream('cheap', data_centre='vannes-c', price_per_hour=1.0)
     manifest = make_manifest(make_upstream(), far, cheap)
     deployment = Deployment(2, manifest)
-    near, remote = deployment.holders
-    remote.member = type(remote.member)('vm-9', 'vm-9', 'vannes-c', 'vm-9')
-    remote = Holder(remote.member, deployment.network)
-    deployment.holders[1] = remote
+    local_daemon, remote_daemon = deployment.holders
+    remote_daemon.member = type(remote_daemon.member)(
+        'vm-9', 'vm-9', 'vannes-c', 'vm-9'
+    )
+    remote_daemon = Holder(remote_daemon.member, deployment.network)
+    deployment.holders[1] = remote_daemon
     deployment.agree()
     await deployment.pass_time(RECOVERY_SECONDS)
-    tasks = [near.ask(HUMAN, ('engine', 'far', 'cheap')) for _ in range(6)]
+    tasks = [
+        local_daemon.ask(HUMAN, ('engine', 'far', 'cheap')) for _ in range(6)
+    ]
     await deployment.pass_time(2)
-    names = sorted(grant.upstream.name for grant in near.grants)
+    names = sorted(grant.upstream.name for grant in local_daemon.grants)
     assert names == ['cheap', 'cheap', 'engine', 'engine', 'engine', 'engine']
-    assert len(tasks) == len(near.grants)
-    # Cut off, it may use what was allowed before for one term and no more.
-    near.follow(manifest, [near.member])
+    assert len(tasks) == len(local_daemon.grants)
+    # Once partitioned, the daemon may use its earlier allowance for one term
+    # and no longer.
+    local_daemon.follow(manifest, [local_daemon.member])
     await deployment.pass_time(TERMS.term.total_seconds())
-    near.ask(HUMAN, ('far',))
+    local_daemon.ask(HUMAN, ('far',))
     await deployment.pass_time(2)
-    assert near.admission.waiting() == 1
+    assert local_daemon.admission.waiting() == 1
     await deployment.stop()
 
 
 @pytest.mark.parametrize('graceful', [True, False])
 async def test_new_daemon_gets_its_share(graceful: bool) -> None:
-    # A daemon joins while the slots are in use, and may become the owner.
+    # A daemon joins while all slots are in use, and may become the owner.
     deployment = Deployment(2, MANIFEST)
     await fill_with_training(deployment, SLOTS)
     deployment.join()
@@ -226,7 +234,7 @@
 
 
 class SharedSlots(RuleBasedStateMachine):
-    """Daemons come, go, pause and lose messages in any order.
+    """Daemons join, die, pause and lose messages in any order.
 
     Daemons without a fault never run more than the slots and the fallback
     shares; once all faults are over, no slot stays unused and none is used
@@ -234,7 +242,7 @@
     """
 
     def __init__(self) -> None:
-        """Begin with two daemons."""
+        """Start two daemons."""
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.faulty: set[str] = set()
@@ -298,9 +306,9 @@
         assert running >= min(asked, SLOTS - HEADROOM)
 
     @invariant()
-    def keep_within_slots(self) -> None:
-        # A paused daemon can't give anything back, and a human's request is
-        # not taken away from a daemon that is cut off.
+    def running_requests_stay_within_slots(self) -> None:
+        # A paused daemon can't release anything, and human requests are not
+        # revoked from a daemon that is partitioned.
         running = 0
         for holder in self.deployment.holders:
             name = holder.member.incarnation
