--- a/quetzalcourse/coordination/slots/admission.py
+++ b/quetzalcourse/coordination/slots/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which request gets a slot of which upstream, and when."""
+"""Admission control: which request gets a slot of which upstream, and when."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
     from quetzalcourse.state.manifest import Manifest, Upstream
 
 MAX_WAITING = 4096
-OVERLOAD_RETRY = timedelta(seconds=5)
-CLASSES = (TrafficClass.human, TrafficClass.training)
+OVERLOAD_RETRY_AFTER = timedelta(seconds=5)
+CLASSES_BY_PRIORITY = (TrafficClass.human, TrafficClass.training)
 
 
 class Admission:
-    """Hands out the slots of upstreams, humans first.
+    """Assigns upstream slots to waiting requests, human requests first.
 
-    Waiting happens here and not in an engine, since an engine admits in the
-    order of arrival and a human would wait there behind training.
+    Requests queue here and not in the engine, since an engine admits in order
+    of arrival and a human request would wait there behind training.
 
-    :param clock: tells when a deadline has passed.
-    :param policy: tells how much this daemon may run on each upstream; left
-        out, this daemon has them for itself.
-    :param max_waiting: requests that may wait here at once.
+    :param clock: used to detect passed deadlines.
+    :param policy: limits how much this daemon may run on each upstream; without
+        one, this daemon uses all slots alone.
+    :param max_waiting: largest number of requests that may wait here at once.
     """
 
     def __init__(
@@ -53,25 +53,25 @@
         counters: Counters | None = None,
         max_waiting: int = MAX_WAITING,
     ) -> None:
-        """Begin without upstreams."""
+        """Create without upstreams."""
         self.limits = AccountLimits()
         self._clock = clock
         self._policy = policy or build_standalone_policy(clock)
         self._counters = counters or Counters()
         self._max_waiting = max_waiting
         self._upstreams: dict[str, Upstream] = {}
-        self._names: dict[int, str] = {}
+        self._account_names: dict[int, str] = {}
         self._queue = FairQueue()
         self._held = HeldSlots()
-        self._orders = itertools.count()
+        self._arrivals = itertools.count()
         self._deadlines = DeadlineTimer(clock, self._expire)
         self._policy.listen(self.on_free, self.on_revoked)
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams and accounts that came into force."""
+        """Apply the upstreams and accounts of a new manifest."""
         self._upstreams = dict(manifest.upstreams)
         accounts = manifest.client_accounts
-        self._names = {hash_name(name): name for name in accounts}
+        self._account_names = {hash_name(name): name for name in accounts}
         self._queue.weights = {
             hash_name(account.name): account.weight
             for account in accounts.values()
@@ -82,29 +82,29 @@
             self.on_free(name)
 
     def on_stop(self) -> None:
-        """End the watch on deadlines."""
+        """Stop the deadline timer."""
         self._deadlines.stop()
 
     def running(self, upstream: str) -> int:
-        """Count the requests that hold a slot of an upstream."""
+        """Return the number of requests that hold a slot of an upstream."""
         return self._held.running(upstream)
 
     def waiting(self) -> int:
-        """Count the requests that wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return len(self._queue)
 
     async def acquire(self, request: SlotRequest) -> Grant:
         """Wait for a slot.
 
-        :param request: what wants to run.
-        :returns: the slot, to be given back by :meth:`release`.
-        :raises RefusedError: if a limit is reached, the queue is full or
-            the deadline passes first; it has not run then.
+        :param request: the request to admit.
+        :returns: the slot, to be returned with :meth:`release`.
+        :raises RefusedError: if a limit is reached, the queue is full or the
+            deadline passes first; the request has not run in that case.
         """
         now = self._clock.elapsed()
         refusal = self.limits.check(request, now)
         if request.deadline <= now:
-            refusal = _refuse_late()
+            refusal = _refuse_expired()
         if refusal is not None:
             self._count_refusal(request, refusal)
             raise RefusedError(refusal)
@@ -112,44 +112,45 @@
         try:
             return await waiter.granted
         except asyncio.CancelledError:
-            self._abandon(waiter)
+            self._on_cancelled(waiter)
             raise
 
     def release(self, grant: Grant, tokens: int = 0) -> None:
-        """Give a slot back; a second time does nothing.
+        """Return a slot; releasing a grant again has no effect.
 
-        :param tokens: how many were generated while it was held.
+        :param tokens: number of tokens generated while the slot was held.
         """
         charged = self._held.remove(grant)
         if charged is None:
             return
         upstream = grant.upstream.name
-        key = make_key(grant.client_account, grant.traffic_class)
+        key = make_load_key(grant.client_account, grant.traffic_class)
         self.limits.on_left(grant)
         self._queue.charge_end(key, charged, tokens)
         self._policy.on_released(upstream, key, tokens)
-        self._show_running(upstream)
+        self._publish_running(upstream)
         self.on_free(upstream)
 
     def on_free(self, upstream: str) -> None:
-        """Hand out what an upstream has free, humans first."""
+        """Assign the free slots of an upstream, human requests first."""
         if upstream not in self._upstreams:
             return
-        for traffic_class in CLASSES:
+        for traffic_class in CLASSES_BY_PRIORITY:
             while self._policy.may_start(upstream, traffic_class):
                 waiter = self._queue.find_next(upstream, traffic_class)
                 if waiter is None:
                     break
                 self._unqueue(waiter)
-                # A caller that went away stays in the queue until its task
-                # has run; a slot granted to it would never come back.
+                # A request whose caller disconnected stays in the queue until
+                # its task has run; a slot granted to it would never be
+                # released.
                 if not waiter.granted.done():
                     self._grant(waiter, upstream)
 
     def on_revoked(self, upstream: str, count: int) -> None:
-        """Take slots back from training.
+        """Revoke slots from training requests.
 
-        :param count: how many must be on their way back in all.
+        :param count: total number of slots that must be in revocation.
         """
         revoked = self._held.revoke_training(upstream, count)
         if revoked:
@@ -157,8 +158,8 @@
 
     def _enqueue(self, request: SlotRequest, now: timedelta) -> SlotWaiter:
         waiter = SlotWaiter(
-            next(self._orders),
-            make_key(request.client_account, request.traffic_class),
+            next(self._arrivals),
+            make_load_key(request.client_account, request.traffic_class),
             request,
             now,
             asyncio.get_running_loop().create_future(),
@@ -171,22 +172,22 @@
                 self.on_free(upstream)
             if waiter.granted.done():
                 return waiter
-        self._hold(waiter)
+        self._keep_waiting(waiter)
         return waiter
 
-    def _hold(self, waiter: SlotWaiter) -> None:
+    def _keep_waiting(self, waiter: SlotWaiter) -> None:
         refusal = self.limits.check_queue(waiter.request)
         if refusal is not None:
-            self._drop(waiter, refusal)
+            self._reject(waiter, refusal)
             return
-        # Without a bound, a flood would take the daemon's memory and every
-        # request in the queue would be served too late.
+        # Without a bound, a flood of requests would exhaust the daemon's
+        # memory, and every queued request would be served too late.
         if len(self._queue) > self._max_waiting:
-            self._drop(self._queue.choose_victim(), _refuse_full())
+            self._reject(self._queue.choose_victim(), _refuse_queue_full())
         if waiter.granted.done():
             return
         self._deadlines.add(waiter.request.deadline)
-        self._show_queue(waiter.key)
+        self._publish_queue_length(waiter.key)
         self._policy.on_queued(waiter)
 
     def _grant(self, waiter: SlotWaiter, upstream: str) -> None:
@@ -198,7 +199,7 @@
         )
         self.limits.on_arrived(grant)
         self._held.add(grant, self._queue.charge_start(waiter.key))
-        self._show_running(upstream)
+        self._publish_running(upstream)
         self._policy.on_started(upstream, waiter.key)
         waiter.granted.set_result(grant)
         wait = self._clock.elapsed() - waiter.queued
@@ -208,10 +209,10 @@
             'slot_wait', wait.total_seconds(), traffic_class=name
         )
 
-    def _abandon(self, waiter: SlotWaiter) -> None:
-        # A caller may go away in the same step of the loop in which its
-        # slot was granted. Nobody would release that slot, and the engine
-        # would stay one short until the daemon restarts.
+    def _on_cancelled(self, waiter: SlotWaiter) -> None:
+        # A caller may disconnect in the same event loop iteration in which its
+        # slot is granted. Nobody else would release that slot, and the engine
+        # would stay one slot short until the daemon restarts.
         if self._unqueue(waiter):
             return
         granted = waiter.granted
@@ -225,10 +226,10 @@
         self.limits.on_unqueued(waiter.request)
         self.limits.on_left(waiter.request)
         self._policy.on_unqueued(waiter)
-        self._show_queue(waiter.key)
+        self._publish_queue_length(waiter.key)
         return True
 
-    def _drop(self, waiter: SlotWaiter, refusal: Refusal) -> None:
+    def _reject(self, waiter: SlotWaiter, refusal: Refusal) -> None:
         self._unqueue(waiter)
         self._count_refusal(waiter.request, refusal)
         if not waiter.granted.done():
@@ -236,24 +237,24 @@
 
     def _expire(self) -> timedelta | None:
         now = self._clock.elapsed()
-        late = [
+        expired = [
             waiter
-            for waiter in self._queue.walk()
+            for waiter in self._queue.iter_waiters()
             if waiter.request.deadline <= now
         ]
-        for waiter in sorted(late, key=_find_deadline):
-            self._drop(waiter, _refuse_late())
-        return min(map(_find_deadline, self._queue.walk()), default=None)
+        for waiter in sorted(expired, key=_get_deadline):
+            self._reject(waiter, _refuse_expired())
+        return min(map(_get_deadline, self._queue.iter_waiters()), default=None)
 
-    def _show_queue(self, key: QueueKey) -> None:
+    def _publish_queue_length(self, key: QueueKey) -> None:
         self._counters.set(
             'queue_length',
             self._queue.count(key),
             traffic_class=key.traffic_class.value,
-            client_account=self._names.get(key.account_id, 'other'),
+            client_account=self._account_names.get(key.account_id, 'other'),
         )
 
-    def _show_running(self, upstream: str) -> None:
+    def _publish_running(self, upstream: str) -> None:
         self._counters.set(
             'slots_running', self.running(upstream), upstream=upstream
         )
@@ -266,16 +267,16 @@
         )
 
 
-def make_key(client_account: str, traffic_class: TrafficClass) -> QueueKey:
-    """Name the queue of an account's requests."""
+def make_load_key(client_account: str, traffic_class: TrafficClass) -> QueueKey:
+    """Build the key of the queue that an account's requests wait in."""
     return QueueKey(traffic_class, hash_name(client_account))
 
 
-def _find_deadline(waiter: SlotWaiter) -> timedelta:
+def _get_deadline(waiter: SlotWaiter) -> timedelta:
     return waiter.request.deadline
 
 
-def _refuse_late() -> Refusal:
+def _refuse_expired() -> Refusal:
     return Refusal(
         RefusalCode.deadline_exceeded,
         'No slot became free before the deadline.',
@@ -284,11 +285,11 @@
     )
 
 
-def _refuse_full() -> Refusal:
+def _refuse_queue_full() -> Refusal:
     return Refusal(
         RefusalCode.overloaded,
-        'Too many requests wait for a slot.',
+        'Too many requests are waiting for a slot.',
         not_run=True,
-        retry_after=OVERLOAD_RETRY,
+        retry_after=OVERLOAD_RETRY_AFTER,
         step='wait for a slot',
     )
--- a/quetzalcourse/coordination/slots/deadline_timer.py
+++ b/quetzalcourse/coordination/slots/deadline_timer.py
@@ -1,4 +1,4 @@
-"""Watch on the deadlines of requests that wait."""
+"""Timer for the deadlines of queued requests."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
     from quetzalcourse.state.clock import Clock
 
-SHORTEST_PAUSE = timedelta(milliseconds=10)
+MIN_SLEEP = timedelta(milliseconds=10)
 
 
 class DeadlineTimer:
-    """One task that sleeps until the earliest deadline.
+    """Runs one task that sleeps until the earliest deadline.
 
-    :param expire: ends what is past its deadline and returns the earliest
-        deadline that is left, if there is one.
+    :param expire: ends the requests past their deadline and returns the
+        earliest remaining deadline, if any.
     """
 
     def __init__(
@@ -26,32 +26,32 @@
         clock: Clock,
         expire: Callable[[], timedelta | None],
     ) -> None:
-        """Begin without a task."""
+        """Create without a task."""
         self._clock = clock
         self._expire = expire
         self._task: asyncio.Task[None] | None = None
-        self._next = timedelta.max
+        self._next_deadline = timedelta.max
 
     def add(self, deadline: timedelta) -> None:
-        """Wake up at a deadline unless an earlier one is awaited."""
+        """Wake up at a deadline unless an earlier one is already set."""
         if self._task is not None and not self._task.done():
-            if deadline >= self._next:
+            if deadline >= self._next_deadline:
                 return
             self._task.cancel()
-        self._next = deadline
+        self._next_deadline = deadline
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._run())
 
     def stop(self) -> None:
-        """End the task."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         while True:
-            pause = self._next - self._clock.elapsed()
-            await self._clock.sleep(max(pause, SHORTEST_PAUSE))
-            following = self._expire()
-            if following is None:
+            delay = self._next_deadline - self._clock.elapsed()
+            await self._clock.sleep(max(delay, MIN_SLEEP))
+            next_deadline = self._expire()
+            if next_deadline is None:
                 return
-            self._next = following
+            self._next_deadline = next_deadline
--- a/quetzalcourse/coordination/slots/decayed_token_counts.py
+++ b/quetzalcourse/coordination/slots/decayed_token_counts.py
@@ -1,4 +1,4 @@
-"""Recent tokens of each account, old ones counting less and less."""
+"""Exponentially decayed token counts of each account."""
 
 from __future__ import annotations
 
@@ -12,43 +12,46 @@
     from quetzalcourse.state.slots import QueueKey
 
 HALF_LIFE = timedelta(seconds=30)
-LARGEST_AGE = 60
-LEAST = 0.000001
+MAX_AGE_IN_HALF_LIVES = 60
+MIN_KEPT_AMOUNT = 0.000001
 
 
 class DecayedTokenCounts:
-    """Sums whose terms halve with every half-life.
+    """Keeps token sums that decay with a fixed half-life.
 
-    New tokens are scaled up where old ones would be scaled down, so only
-    ratios between accounts mean anything, and reading costs nothing.
+    New tokens are scaled up instead of scaling old ones down, so only ratios
+    between accounts are meaningful, and reading costs nothing.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing served."""
+        """Create with no tokens counted."""
         self._sums: dict[QueueKey, float] = defaultdict(float)
-        self._begin: timedelta | None = None
+        self._reference_time: timedelta | None = None
 
     def add(self, key: QueueKey, tokens: int, now: timedelta) -> None:
-        """Count tokens that an account got."""
+        """Add tokens generated for an account."""
         if not tokens:
             return
-        if self._begin is None:
-            self._begin = now
-        age = (now - self._begin) / HALF_LIFE
-        if age > LARGEST_AGE:
+        if self._reference_time is None:
+            self._reference_time = now
+        age = (now - self._reference_time) / HALF_LIFE
+        if age > MAX_AGE_IN_HALF_LIVES:
             self._rescale(age, now)
             age = 0
         self._sums[key] += tokens * 2**age
 
     def read(self) -> Mapping[QueueKey, float]:
-        """Read the sums, which are comparable with one another only."""
+        """Return the sums, which are comparable only with one another."""
         return self._sums
 
     def _rescale(self, age: float, now: timedelta) -> None:
-        # Scaled up for hours, the sums would overflow.
-        self._begin = now
+        # The scale factor grows with time, so without rescaling the sums would
+        # overflow after hours.
+        self._reference_time = now
         scaled = {key: amount / 2**age for key, amount in self._sums.items()}
         self._sums.clear()
         self._sums.update(
-            (key, amount) for key, amount in scaled.items() if amount > LEAST
+            (key, amount)
+            for key, amount in scaled.items()
+            if amount > MIN_KEPT_AMOUNT
         )
--- a/quetzalcourse/coordination/slots/fair_queue.py
+++ b/quetzalcourse/coordination/slots/fair_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait in this daemon, by class and account."""
+"""Fair queue of this daemon's waiting requests, by class and account."""
 
 from __future__ import annotations
 
@@ -12,58 +12,58 @@
 
     from quetzalcourse.state.slots import QueueKey, SlotWaiter
 
-Line = dict[int, 'SlotWaiter']
-LEARNING_RATE = 0.2
+WaitersByOrder = dict[int, 'SlotWaiter']
+COST_SMOOTHING = 0.2
 
 
 class FairQueue:
-    """Start-time fair queueing by tokens.
+    """Start-time fair queueing, measured in tokens.
 
-    Each account has a virtual time, which grows with its tokens over its
-    weight; the waiting account with the lowest is served next. What a
-    request will generate is not known when it starts, so the account's
-    average is charged then and the difference once it has finished.
+    Each account has a virtual time, which advances by its tokens divided by its
+    weight; the waiting account with the lowest one is served next. The number
+    of tokens a request will generate is unknown when it starts, so the
+    account's average is charged at the start and the difference at the end.
     """
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty queue."""
         self.weights: Mapping[int, float] = {}
-        self._lines: dict[QueueKey, dict[frozenset[str], Line]] = {}
-        self._times: dict[QueueKey, float] = {}
-        self._averages: dict[QueueKey, float] = {}
-        self._newest: dict[TrafficClass, float] = {}
+        self._queues: dict[QueueKey, dict[frozenset[str], WaitersByOrder]] = {}
+        self._finish_tags: dict[QueueKey, float] = {}
+        self._average_costs: dict[QueueKey, float] = {}
+        self._virtual_times: dict[TrafficClass, float] = {}
         self._lengths: Counter[QueueKey] = Counter()
 
     def __len__(self) -> int:
-        """Count the requests that wait."""
+        """Return the number of waiting requests."""
         return sum(self._lengths.values())
 
     def count(self, key: QueueKey) -> int:
-        """Count the requests of one class and account that wait."""
+        """Return the number of waiting requests of one class and account."""
         return self._lengths.get(key, 0)
 
     def push(self, waiter: SlotWaiter) -> None:
-        """Add a request behind the others of its account."""
-        lines = self._lines.setdefault(waiter.key, {})
-        names = frozenset(waiter.request.candidates)
-        lines.setdefault(names, {})[waiter.order] = waiter
+        """Append a request to the queue of its account."""
+        queues = self._queues.setdefault(waiter.key, {})
+        candidates = frozenset(waiter.request.candidates)
+        queues.setdefault(candidates, {})[waiter.order] = waiter
         self._lengths[waiter.key] += 1
 
     def remove(self, waiter: SlotWaiter) -> bool:
-        """Take a request out.
+        """Remove a request.
 
-        :returns: whether it was still there.
+        :returns: whether it was still queued.
         """
-        lines = self._lines.get(waiter.key, {})
-        names = frozenset(waiter.request.candidates)
-        line = lines.get(names, {})
-        if line.pop(waiter.order, None) is None:
+        queues = self._queues.get(waiter.key, {})
+        candidates = frozenset(waiter.request.candidates)
+        queue = queues.get(candidates, {})
+        if queue.pop(waiter.order, None) is None:
             return False
         self._lengths[waiter.key] -= 1
-        if not line:
-            lines.pop(names)
-        if not lines:
-            self._lines.pop(waiter.key)
+        if not queue:
+            queues.pop(candidates)
+        if not queues:
+            self._queues.pop(waiter.key)
             self._lengths.pop(waiter.key)
         return True
 
@@ -74,13 +74,13 @@
     ) -> SlotWaiter | None:
         """Find the request that an upstream should run next."""
         keys = [
-            key for key in self._lines if key.traffic_class is traffic_class
+            key for key in self._queues if key.traffic_class is traffic_class
         ]
-        for key in sorted(keys, key=self._find_start):
+        for key in sorted(keys, key=self._compute_start_tag):
             heads = [
-                next(iter(line.values()))
-                for names, line in self._lines[key].items()
-                if upstream in names
+                next(iter(queue.values()))
+                for candidates, queue in self._queues[key].items()
+                if upstream in candidates
             ]
             if heads:
                 return min(heads, key=lambda waiter: waiter.order)
@@ -89,60 +89,60 @@
     def charge_start(self, key: QueueKey) -> float:
         """Charge an account for a request that starts.
 
-        :returns: how many tokens were charged.
+        :returns: the number of tokens charged.
         """
-        start = self._find_start(key)
-        self._newest[key.traffic_class] = start
-        estimate = self._averages.get(key, 1.0)
-        self._times[key] = start + estimate / self._weigh(key)
+        start = self._compute_start_tag(key)
+        self._virtual_times[key.traffic_class] = start
+        estimate = self._average_costs.get(key, 1.0)
+        self._finish_tags[key] = start + estimate / self._get_weight(key)
         return estimate
 
     def charge_end(self, key: QueueKey, charged: float, tokens: int) -> None:
-        """Charge what a request generated beyond its estimate.
+        """Charge the difference between a request's tokens and its estimate.
 
-        :param charged: what :meth:`charge_start` charged for it.
+        :param charged: tokens charged for it by :meth:`charge_start`.
         """
         cost = max(float(tokens), 1.0)
-        average = self._averages.get(key, cost)
-        self._averages[key] = average + LEARNING_RATE * (cost - average)
-        difference = (cost - charged) / self._weigh(key)
-        self._times[key] = self._times.get(key, 0.0) + difference
+        average = self._average_costs.get(key, cost)
+        self._average_costs[key] = average + COST_SMOOTHING * (cost - average)
+        difference = (cost - charged) / self._get_weight(key)
+        self._finish_tags[key] = self._finish_tags.get(key, 0.0) + difference
 
-    def walk(self) -> Iterator[SlotWaiter]:
-        """Visit every request that waits."""
-        for key in self._lines:
-            yield from self._walk_account(key)
+    def iter_waiters(self) -> Iterator[SlotWaiter]:
+        """Iterate over all waiting requests."""
+        for key in self._queues:
+            yield from self._iter_account(key)
 
     def choose_victim(self) -> SlotWaiter:
-        """Choose the request to give up when the queue is full.
+        """Choose the request to reject when the queue is full.
 
-        Training goes first, then the account with the longest queue for its
-        weight, and of that the request with the earliest deadline, which is
-        the least likely to be served in time.
+        Training is rejected first, then the account with the longest queue
+        relative to its weight; within that account, the request with the
+        earliest deadline, which is the least likely to be served in time.
         """
         training = [
             key
-            for key in self._lines
+            for key in self._queues
             if key.traffic_class is TrafficClass.training
         ]
         longest = max(
-            training or self._lines,
-            key=lambda key: self._lengths[key] / self._weigh(key),
+            training or self._queues,
+            key=lambda key: self._lengths[key] / self._get_weight(key),
         )
         return min(
-            self._walk_account(longest),
+            self._iter_account(longest),
             key=lambda waiter: (waiter.request.deadline, waiter.order),
         )
 
-    def _walk_account(self, key: QueueKey) -> Iterator[SlotWaiter]:
-        for line in self._lines[key].values():
-            yield from line.values()
+    def _iter_account(self, key: QueueKey) -> Iterator[SlotWaiter]:
+        for queue in self._queues[key].values():
+            yield from queue.values()
 
-    def _find_start(self, key: QueueKey) -> float:
-        # An account that was idle begins beside the others: credit for the
-        # time before would let it hold all slots when it comes back.
-        newest = self._newest.get(key.traffic_class, 0.0)
-        return max(self._times.get(key, 0.0), newest)
+    def _compute_start_tag(self, key: QueueKey) -> float:
+        # An account that was idle starts at the current virtual time: credit
+        # for its idle time would let it take all slots when it returns.
+        virtual_time = self._virtual_times.get(key.traffic_class, 0.0)
+        return max(self._finish_tags.get(key, 0.0), virtual_time)
 
-    def _weigh(self, key: QueueKey) -> float:
+    def _get_weight(self, key: QueueKey) -> float:
         return self.weights.get(key.account_id, 1.0)
--- a/quetzalcourse/coordination/slots/owned_slots.py
+++ b/quetzalcourse/coordination/slots/owned_slots.py
@@ -1,4 +1,4 @@
-"""The upstreams that this daemon owns, and its answers to the others."""
+"""The upstreams that this daemon owns, and its answers to other daemons."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.slots import SlotReport, SlotTimings
 
-Answers = dict[str, list[Allowance]]
+AllowancesByRequester = dict[str, list[Allowance]]
 
 
 class OwnedSlots:
-    """Owners of all upstreams that fall to this daemon.
+    """Manages the slot owners of all upstreams assigned to this daemon.
 
     :param own: this daemon.
     """
 
     def __init__(self, own: Member, terms: SlotTimings) -> None:
-        """Begin without upstreams."""
+        """Create without upstreams."""
         self._own = own
         self._terms = terms
         self._upstreams: dict[str, Upstream] = {}
         self._weights: Mapping[int, float] = {}
         self._owners: dict[str, SlotOwner] = {}
-        self._live: set[str] = set()
+        self._live_incarnations: set[str] = set()
 
     def names(self) -> tuple[str, ...]:
-        """Name the upstreams that are owned here."""
+        """Return the names of the upstreams owned here."""
         return tuple(self._owners)
 
     def find(self, upstream: str) -> SlotOwner | None:
-        """Find the state of an upstream that is owned here."""
+        """Return the owner state of an upstream owned here."""
         return self._owners.get(upstream)
 
     def on_manifest(
@@ -52,7 +52,7 @@
         upstreams: Mapping[str, Upstream],
         weights: Mapping[int, float],
     ) -> None:
-        """Take the upstreams of the own data centre; all if it has no name.
+        """Select the upstreams of this data centre, or all if it has no name.
 
         :param weights: account id to weight.
         """
@@ -64,41 +64,42 @@
         self._weights = weights
 
     def on_members(self, members: list[Member], now: timedelta) -> None:
-        """Begin and end ownership as the live members have it.
+        """Start and end ownership according to the live members.
 
-        :param members: live members of the own data centre.
+        :param members: live members of this daemon's data centre.
         """
         for name, upstream in self._upstreams.items():
             owner = find_owner(name, members)
             if owner is None or owner.incarnation != self._own.incarnation:
                 self._owners.pop(name, None)
                 continue
-            shares = list_fallback(upstream, members)
+            shares = list_fallback_shares(upstream, members)
             if name not in self._owners:
                 self._owners[name] = SlotOwner(
-                    upstream, self._terms, self._find_settled(now), shares
+                    upstream, self._terms, self._find_takeover_end(now), shares
                 )
             self._owners[name].on_manifest(upstream, self._weights)
             self._owners[name].on_members(shares)
         for name in tuple(self._owners):
             if name not in self._upstreams:
                 self._owners.pop(name)
-        self._live = {member.incarnation for member in members}
+        self._live_incarnations = {member.incarnation for member in members}
 
     def on_reports(
         self,
         sender: str,
         reports: Iterable[SlotReport],
         now: timedelta,
-    ) -> Answers:
-        """Take a daemon's reports.
+    ) -> AllowancesByRequester:
+        """Process the reports of a daemon.
 
         A report on an upstream that is not owned here gets no answer: its
-        sender has heard of other members and will ask the right owner.
+        sender has a different member list and will ask the right owner once it
+        is up to date.
 
         :returns: allowances to send, by incarnation.
         """
-        answers: Answers = defaultdict(list)
+        answers: AllowancesByRequester = defaultdict(list)
         for report in reports:
             owner = self._owners.get(report.upstream)
             if owner is None or not owner.on_report(sender, report, now):
@@ -108,30 +109,30 @@
                 answers[name].append(allowance)
         return answers
 
-    def decide_all(self, now: timedelta) -> Answers:
-        """Divide the slots anew where allowances have lapsed.
+    def decide_all(self, now: timedelta) -> AllowancesByRequester:
+        """Recompute the division of all upstreams, for allowances that expired.
 
         :returns: allowances to send, by incarnation.
         """
-        answers: Answers = defaultdict(list)
+        answers: AllowancesByRequester = defaultdict(list)
         for owner in self._owners.values():
             for name, allowance in owner.decide(now).items():
                 answers[name].append(allowance)
         return answers
 
-    def _find_settled(self, now: timedelta) -> timedelta:
-        # Nobody but this daemon was ever seen here, so nobody holds an
-        # allowance; waiting would only delay the first request.
-        if self._live <= {self._own.incarnation}:
+    def _find_takeover_end(self, now: timedelta) -> timedelta:
+        # No other daemon was ever seen here, so none holds an allowance;
+        # waiting would only delay the first request.
+        if self._live_incarnations <= {self._own.incarnation}:
             return now
         return now + self._terms.term
 
 
-def list_fallback(
+def list_fallback_shares(
     upstream: Upstream,
     members: list[Member],
 ) -> dict[str, int]:
-    """List the fallback shares of the members, by incarnation."""
+    """Return the fallback shares of the members, by incarnation."""
     ranked = rank_members(upstream.name, members)
     return {
         member.incarnation: count_fallback_slots(
--- a/quetzalcourse/coordination/slots/requester_state.py
+++ b/quetzalcourse/coordination/slots/requester_state.py
@@ -1,4 +1,4 @@
-"""What an owner knows of one daemon that uses its upstream."""
+"""An owner's state of one daemon that uses its upstream."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
     from quetzalcourse.coordination.slots.fair_share import SlotTarget
 
 NEVER = timedelta(days=-1)
-RENEWAL_PART = 0.75
+ANSWER_INTERVAL_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
-class _Promise:
-    """Allowance that the daemon may be using.
+class _SentAllowance:
+    """Allowance that the daemon may still be using.
 
-    :param lapses: when it can't be in use any more.
+    :param expires_at: when it can no longer be in use.
     """
 
     number: int
     total: int
     training: int
-    lapses: timedelta
+    expires_at: timedelta
 
 
 @dataclass(slots=True)
 class RequesterState:
-    """One daemon's reports and the allowances that were sent to it.
+    """One daemon's last report and the allowances sent to it.
 
     :param name: incarnation of the daemon.
-    :param heard: when its last report came.
-    :param answered: when the last allowance was sent to it.
+    :param reported_at: when its last report arrived.
+    :param answered_at: when the last allowance was sent to it.
     """
 
     name: str
     report: SlotReport
-    heard: timedelta
+    reported_at: timedelta
     current: Allowance
-    promises: list[_Promise] = field(default_factory=list)
-    answered: timedelta = NEVER
+    sent_allowances: list[_SentAllowance] = field(default_factory=list)
+    answered_at: timedelta = NEVER
 
     @classmethod
-    def meet(
+    def from_first_report(
         cls,
         name: str,
         report: SlotReport,
         now: timedelta,
         term: timedelta,
     ) -> RequesterState:
-        """Begin with the first report, which tells what it still holds.
+        """Create from the first report, which states what the daemon holds.
 
-        An owner before this one may have allowed that, and nothing is free
-        that it allowed until the allowance lapses.
+        A previous owner may have granted those slots, and none of them is free
+        until that allowance expires.
         """
         held = Allowance(
             report.upstream,
@@ -66,18 +66,18 @@
             report.held - report.held_training,
             report.held_training,
         )
-        promise = _Promise(
+        sent = _SentAllowance(
             report.applied, report.held, report.held_training, now + term
         )
-        return cls(name, report, now, held, [promise])
+        return cls(name, report, now, held, [sent])
 
     @property
     def running(self) -> int:
-        """Requests that run, by its last report."""
+        """Number of running requests, according to the last report."""
         return sum(load.running for load in self.report.loads)
 
     def count_running(self, traffic_class: TrafficClass) -> int:
-        """Requests of one class that run, by its last report."""
+        """Count running requests of one class, according to the last report."""
         return sum(
             load.running
             for load in self.report.loads
@@ -85,7 +85,7 @@
         )
 
     def count_waiting(self, traffic_class: TrafficClass) -> int:
-        """Requests of one class that wait, by its last report."""
+        """Count waiting requests of one class, according to the last report."""
         return sum(
             load.waiting
             for load in self.report.loads
@@ -93,72 +93,72 @@
         )
 
     def accept(self, report: SlotReport, now: timedelta) -> bool:
-        """Take a report unless a newer one came before it."""
+        """Accept a report unless a newer one arrived before it."""
         if report.sequence <= self.report.sequence:
             return False
         self.report = report
-        self.heard = now
-        self.promises = [
-            promise
-            for promise in self.promises
-            if promise.number >= report.applied
+        self.reported_at = now
+        self.sent_allowances = [
+            sent
+            for sent in self.sent_allowances
+            if sent.number >= report.applied
         ]
         return True
 
     def count_committed(self, now: timedelta) -> int:
-        """Count the slots that it may be using.
+        """Count the slots that the daemon may be using.
 
-        Messages are lost and overtake one another, so the daemon may follow
-        any allowance since the newest that it confirmed.
+        Messages can be lost or reordered, so the daemon may be applying any
+        allowance since the newest one that it confirmed.
         """
         totals = [
-            promise.total for promise in self.promises if now < promise.lapses
+            sent.total for sent in self.sent_allowances if now < sent.expires_at
         ]
         return max(totals + [self.running])
 
     def count_committed_training(self, now: timedelta) -> int:
-        """Count the slots that its training may be using."""
+        """Count the slots that the daemon's training may be using."""
         counts = [
-            promise.training
-            for promise in self.promises
-            if now < promise.lapses
+            sent.training
+            for sent in self.sent_allowances
+            if now < sent.expires_at
         ]
         return max(counts + [self.count_running(TrafficClass.training)])
 
-    def list_claims(self, now: timedelta) -> list[AccountDemand]:
-        """List what each account could use through this daemon."""
-        silent = now - self.heard
+    def list_demands(self, now: timedelta) -> list[AccountDemand]:
+        """List the slots that each account could use through this daemon."""
+        since_report = now - self.reported_at
         return [
             AccountDemand(
                 self.name,
                 load.key,
                 load.running + load.waiting,
-                load.oldest + silent if load.waiting else timedelta(0),
+                load.oldest + since_report if load.waiting else timedelta(0),
             )
             for load in self.report.loads
         ]
 
-    def awaits(
+    def needs_answer(
         self,
-        goal: SlotTarget,
+        target: SlotTarget,
         now: timedelta,
         renewal: timedelta,
     ) -> bool:
-        """Tell whether its report needs an answer.
+        """Check whether the daemon's report needs an answer.
 
-        Most reports ask for nothing that changed; an answer only moves the
-        end of the term, which the next renewal does as well.
+        Most reports ask for no change; an answer would only extend the term,
+        which the next renewal does as well.
         """
         current = self.current
-        if (goal.human, goal.training) != (current.human, current.training):
+        if (target.human, target.training) != (current.human, current.training):
             return True
         if self.report.applied < current.number:
             return True
         if self.count_waiting(TrafficClass.human):
             return True
-        return now - self.answered >= renewal * RENEWAL_PART
+        return now - self.answered_at >= renewal * ANSWER_INTERVAL_SHARE
 
-    def allow(
+    def make_allowance(
         self,
         target: SlotTarget,
         revoke: int,
@@ -166,10 +166,11 @@
         *,
         contended: bool,
     ) -> Allowance:
-        """Make the next allowance.
+        """Create the next allowance.
 
-        It ends by the daemon's clock one term after the report it answers
-        was sent; counted from that report's arrival it is over for sure.
+        On the daemon's clock it expires one term after the daemon sent the
+        report that it answers; counted from the arrival of that report, it has
+        certainly expired.
         """
         self.current = Allowance(
             self.report.upstream,
@@ -180,12 +181,12 @@
             revoke,
             contended,
         )
-        self.promises.append(
-            _Promise(
+        self.sent_allowances.append(
+            _SentAllowance(
                 self.current.number,
                 target.total,
                 target.training,
-                self.heard + term,
+                self.reported_at + term,
             )
         )
         return self.current
