--- a/bench/suites/rollouts.py
+++ b/bench/suites/rollouts.py
@@ -13,7 +13,7 @@
 )
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.forwarding.upstream import (
-    MIN_LATENCY_READINGS,
+    MIN_LATENCY_SAMPLES,
     Upstream,
 )
 from quetzalcourse.coordination.versions.load_plan import (
@@ -101,7 +101,7 @@
         upstream = pool.find(name)
         assert upstream is not None
         token_latency = SOUND_PACE if number else SLOW_FACTOR
-        for _ in range(MIN_LATENCY_READINGS * 5):
+        for _ in range(MIN_LATENCY_SAMPLES * 5):
             pool.on_token_latency(upstream, token_latency)
     return pool
 
--- a/quetzalcourse/coordination/forwarding/__init__.py
+++ b/quetzalcourse/coordination/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Where a caller's request goes, and what becomes of each attempt."""
+"""Forwarding of callers' requests: upstream selection, timeouts and retries."""
--- a/quetzalcourse/coordination/forwarding/cold_start.py
+++ b/quetzalcourse/coordination/forwarding/cold_start.py
@@ -1,12 +1,13 @@
-"""Rate limits for upstreams that have just started.
-
-When a data centre returns, or an upstream is replaced during a burst of
-batch submissions, every daemon sees an upstream without load and fills it
-at once. With cold caches it crashes under more than a few requests a second.
-The limit holds for all daemons together, also for those that can't reach each
-other, so no daemon asks another one: a few of them are chosen for each cold
-upstream by hashing, and each keeps to a share that stays within the limit
-while the daemons' views of each other differ.
+"""Rate limits for upstreams that have just started (slow start).
+
+When a data centre recovers, or an upstream is replaced during a burst of
+batch submissions, every daemon sees an idle upstream and fills it at once.
+With cold caches it crashes under more than a few requests a second.
+
+The limit must hold for all daemons together, including daemons that can't
+reach each other, so it needs no communication: rendezvous hashing selects a
+few sender daemons for each cold upstream, and each sender's share keeps the
+total within the limit even while the daemons' membership views differ.
 """
 
 from __future__ import annotations
@@ -24,54 +25,54 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.routing import ColdStart, RoutingManifest
 
-# Views that may differ at once: two sides of a partition, and a daemon that
-# has just restarted. Each may choose other senders.
+# Membership views that may coexist: the two sides of a partition, and a daemon
+# that has just restarted. Each view may select different senders.
 MAX_DIVERGENT_VIEWS = 3
-WINDOW = timedelta(seconds=1)
+RATE_WINDOW = timedelta(seconds=1)
 
 
 class Coordinators(Protocol):
     """The daemons that run batches."""
 
     def leads(self, upstream: Upstream) -> bool:
-        """Tell whether this daemon goes first at an upstream."""
+        """Return whether this daemon is the leading sender of an upstream."""
 
 
 class ColdStartPolicy(Protocol):
     """Decides on requests to cold upstreams."""
 
     def find_duration(self, upstream: Upstream) -> timedelta:
-        """Tell how long an upstream is cold after its start, 0 if never."""
+        """Return how long an upstream is cold after its start, 0 if never."""
 
     def is_cold(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream takes few requests now."""
+        """Return whether the rate of an upstream is limited now."""
 
     def admits(self, upstream: Upstream) -> bool:
-        """Tell whether this daemon may send an upstream a request now."""
+        """Return whether this daemon may send an upstream a request now."""
 
 
 class NoColdStartLimits:
-    """Upstreams that take any number of requests from their start on."""
+    """Policy without rate limits after a start."""
 
     def find_duration(self, _: Upstream) -> timedelta:
-        """Tell that no upstream is cold for any time."""
+        """Return zero: no upstream is ever cold."""
         return timedelta(0)
 
     def is_cold(self, _: Upstream) -> bool:
-        """Tell that no upstream is cold."""
+        """Return ``False``: no upstream is ever cold."""
         return False
 
     def admits(self, _: Upstream) -> bool:
-        """Let every request go."""
+        """Return ``True``: every request may be sent."""
         return True
 
 
 class ColdStartLimiter:
     """Decides whether this daemon may send a request to a cold upstream.
 
-    Items of batches come from a few coordinators, so one of these sends all
-    that an upstream may get. Requests come in at every daemon; there the
-    share is spread over as many daemons as may send one each.
+    Batch items come from a few coordinators, so one coordinator sends the
+    whole budget of an upstream. Requests arrive at every daemon, so for them
+    the budget is divided among at most as many daemons as it has requests.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         coordinators: Coordinators,
         clock: Clock,
     ) -> None:
-        """Begin without a service."""
+        """Start without a service; :meth:`on_manifest` sets them."""
         self._terms = terms
         self._members = members
         self._coordinators = coordinators
@@ -90,7 +91,7 @@
         self._batch_services: set[str] = set()
 
     def on_manifest(self, manifest: RoutingManifest) -> None:
-        """Take the services of a manifest that came into force."""
+        """Apply the cold-start settings of a new routing manifest."""
         self._cold_starts = {
             service.name: service.cold_start
             for service in manifest.services.values()
@@ -104,21 +105,21 @@
         }
 
     def find_duration(self, upstream: Upstream) -> timedelta:
-        """Tell how long an upstream is cold after its start, 0 if never."""
+        """Return how long an upstream is cold after its start, 0 if never."""
         cold_start = self._cold_starts.get(upstream.member.service)
         return cold_start.duration if cold_start else timedelta(0)
 
     def is_cold(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream takes few requests now."""
+        """Return whether the rate of an upstream is limited now."""
         limited = upstream.member.service in self._cold_starts
         return limited and upstream.is_cold(self._clock.elapsed())
 
     def admits(self, upstream: Upstream) -> bool:
-        """Tell whether this daemon may send a request now."""
+        """Return whether this daemon may send a request now."""
         if not self.is_cold(upstream):
             return True
         share = self._find_share(upstream)
-        sent = upstream.count_sent(self._clock.elapsed() - WINDOW)
+        sent = upstream.count_sent(self._clock.elapsed() - RATE_WINDOW)
         return sent < share
 
     def _find_share(self, upstream: Upstream) -> int:
@@ -134,6 +135,6 @@
 
 
 def compute_sender_budget(cold_start: ColdStart, terms: ColdStartTerms) -> int:
-    """Tell how many requests the senders of one view share in a second."""
+    """Return the requests a second that the senders of one view share."""
     limit = cold_start.requests_per_second * terms.overage + terms.slack
     return int(limit / MAX_DIVERGENT_VIEWS)
--- a/quetzalcourse/coordination/forwarding/fingerprint.py
+++ b/quetzalcourse/coordination/forwarding/fingerprint.py
@@ -1,7 +1,7 @@
-"""Fingerprints by which repeated requests are known.
+"""Fingerprints that identify repeats of the same request.
 
-Each attempt of a caller has an id of its own, so an id does not tell whether a
-request has come before. Its method, host, target, client account and body do.
+Each attempt of a caller has a request id of its own, so the id can't identify
+a repeat. The method, host, target, client account and body can.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
     from collections.abc import Iterable
 
 DIGEST_BYTES = 16
-# Bytes of a body that count. Longer bodies are told apart by their beginning
-# and their declared length, since they are sent on before their end is known.
+# Bytes of a body that are hashed. Longer bodies are distinguished by this
+# prefix and their declared length, since they are forwarded before their end
+# has arrived.
 BODY_BYTES = 262_144
-LENGTH_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 
 
 def compute_fingerprint(
@@ -30,19 +31,19 @@
     """Compute the fingerprint of a request.
 
     :param target: path and query.
-    :param body: pieces of the body, at least the first :data:`BODY_BYTES`.
-    :param declared_length: length of a body that is not known whole.
-    :returns: hexadecimal digits.
+    :param body: chunks of the body, at least its first :data:`BODY_BYTES`.
+    :param declared_length: length of a body that has not arrived completely.
+    :returns: hexadecimal digest.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (method, host, target, client_account, str(declared_length)):
         field = text.encode(errors='surrogateescape')
-        digest.update(len(field).to_bytes(LENGTH_BYTES))
+        digest.update(len(field).to_bytes(LENGTH_PREFIX_BYTES))
         digest.update(field)
-    left = BODY_BYTES
-    for piece in body:
-        digest.update(piece[:left])
-        left -= len(piece)
-        if left <= 0:
+    remaining = BODY_BYTES
+    for chunk in body:
+        digest.update(chunk[:remaining])
+        remaining -= len(chunk)
+        if remaining <= 0:
             break
     return digest.hexdigest()
--- a/quetzalcourse/coordination/forwarding/forwarding.py
+++ b/quetzalcourse/coordination/forwarding/forwarding.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: which upstream next, and when to give up."""
+"""Retry policy of forwarded requests: upstream choice, timeouts, refusals."""
 
 from __future__ import annotations
 
@@ -20,33 +20,34 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.routing import AllowedRegions, Route
 
-# Retry-After of a refused request; another daemon may serve it.
+# Retry-After of a refused request; short, as another daemon may serve it.
 REFUSAL_RETRY_AFTER = timedelta(milliseconds=200)
-# Share of an idempotent request's time after which its first attempt is given
-# up, until answers on the route are known.
-FIRST_ATTEMPT_SHARE = 0.4
-MIN_FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=250)
+# Share of an idempotent request's remaining time after which an attempt is
+# abandoned, until the response times of the route are known.
+ATTEMPT_TIMEOUT_SHARE = 0.4
+MIN_ATTEMPT_TIMEOUT = timedelta(milliseconds=250)
 # Requests with less time left are refused at once.
 MIN_TIME_LEFT = timedelta(milliseconds=5)
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A caller's request on its way to an upstream.
+    """A caller's request and the state of its attempts.
 
-    :param service: where it goes.
+    :param service: service that it is routed to.
     :param deadline: time since boot at which its caller stops waiting.
-    :param allowed_regions: where it may run.
-    :param replayable: whether its body can be sent once more.
-    :param fingerprint: the same for all requests that are repeats of it.
-    :param attempts: upstreams that were chosen for it.
-    :param unreachable: upstreams that could not be connected to.
-    :param may_have_run: whether one of them may have begun to run it.
-    :param attempt_began: time since boot at which the last one was chosen.
-    :param unresponsive_data_centres: data centres of upstreams that gave no
-        answer.
-    :param attempt_timeout: how long it waits before another upstream is tried,
-        zero if none will be.
+    :param allowed_regions: regions where it may run.
+    :param replayable: whether its body can be sent again.
+    :param fingerprint: identical for all repeats of the request.
+    :param attempts: number of upstreams that were chosen for it.
+    :param may_have_run: whether an upstream may have started to run it.
+    :param attempt_began: time since boot at which the last attempt started.
+    :param attempt_timeout: how long the attempt may take before another
+        upstream is tried, zero if none will be.
+    :param tried: ids of the upstreams that were chosen.
+    :param unresponsive_data_centres: data centres of upstreams that could not
+        be reached or did not respond.
+    :param unreachable: ids of upstreams that refused the connection.
     """
 
     request_id: str
@@ -67,137 +68,135 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether it may safely run more than once."""
         return self.route.kind is RouteKind.idempotent or self.route.resumable
 
 
 class Forwarder:
-    """Decides on the attempts of requests."""
+    """Chooses upstreams, timeouts and retries of forwarded requests."""
 
     def __init__(
         self, pool: Pool, quarantine: Quarantine, clock: Clock
     ) -> None:
-        """Keep the pool that attempts choose from."""
+        """Start without response times of any route."""
         self._pool = pool
         self._quarantine = quarantine
         self._timeouts = AttemptTimeouts()
         self._clock = clock
 
-    def find_time_left(self, forwarding: ForwardedRequest) -> timedelta:
-        """Tell how long the caller still waits."""
-        return forwarding.deadline - self._clock.elapsed()
+    def find_time_left(self, request: ForwardedRequest) -> timedelta:
+        """Return the time until the caller's deadline."""
+        return request.deadline - self._clock.elapsed()
 
-    async def admit(self, forwarding: ForwardedRequest) -> None:
-        """Let a request be sent to an upstream, or once more to another.
+    async def admit(self, request: ForwardedRequest) -> None:
+        """Check a request against the quarantine before each attempt.
 
-        :raises RefusedError: if it ends the upstreams that run it.
+        :raises RefusedError: if it crashes the upstreams that run it.
         """
         await self._quarantine.admit(
-            forwarding.fingerprint, may_have_run=forwarding.may_have_run
+            request.fingerprint, may_have_run=request.may_have_run
         )
 
-    def choose(self, forwarding: ForwardedRequest) -> Upstream:
+    def choose(self, request: ForwardedRequest) -> Upstream:
         """Choose the upstream of the next attempt.
 
-        :raises RefusedError: if none can be tried, or there is no time.
+        :raises RefusedError: if no upstream is left or the deadline is near.
         """
-        if self.find_time_left(forwarding) < MIN_TIME_LEFT:
-            raise RefusedError(self.build_deadline_refusal(forwarding))
-        avoided = self._quarantine.list_avoided(forwarding.fingerprint)
+        if self.find_time_left(request) < MIN_TIME_LEFT:
+            raise RefusedError(self.build_deadline_refusal(request))
+        avoided = self._quarantine.list_avoided(request.fingerprint)
         upstream = self._pool.choose(
-            forwarding.service,
-            forwarding.tried.union(avoided),
-            forwarding.unresponsive_data_centres,
-            forwarding.allowed_regions,
+            request.service,
+            request.tried.union(avoided),
+            request.unresponsive_data_centres,
+            request.allowed_regions,
         )
-        if upstream is None and forwarding.may_have_run:
-            # One that broke off may well serve the rest; where it refused,
-            # asking it again at once would only be refused again.
+        if upstream is None and request.may_have_run:
+            # An upstream that broke off its response may still serve the
+            # rest, but one that refused would only refuse again at once.
             upstream = self._pool.choose(
-                forwarding.service,
-                forwarding.unreachable.union(avoided),
-                allowed=forwarding.allowed_regions,
+                request.service,
+                request.unreachable.union(avoided),
+                allowed=request.allowed_regions,
             )
         if upstream is None:
-            raise RefusedError(_refuse_without(forwarding))
-        forwarding.attempts += 1
-        forwarding.attempt_began = self._clock.elapsed()
-        forwarding.tried.add(upstream.name)
+            raise RefusedError(_refuse_unavailable(request))
+        request.attempts += 1
+        request.attempt_began = self._clock.elapsed()
+        request.tried.add(upstream.name)
         return upstream
 
-    def find_timeout(self, forwarding: ForwardedRequest) -> timedelta:
-        """Tell how long to wait for the head of an attempt's answer."""
-        left = self.find_time_left(forwarding)
-        if not self.may_repeat(forwarding, not_run=False):
-            forwarding.attempt_timeout = timedelta(0)
+    def find_timeout(self, request: ForwardedRequest) -> timedelta:
+        """Return how long to wait for the head of an attempt's response."""
+        left = self.find_time_left(request)
+        if not self.may_repeat(request, not_run=False):
+            request.attempt_timeout = timedelta(0)
             return left
         longest = min(
-            left, max(left * FIRST_ATTEMPT_SHARE, MIN_FIRST_ATTEMPT_TIMEOUT)
+            left, max(left * ATTEMPT_TIMEOUT_SHARE, MIN_ATTEMPT_TIMEOUT)
         )
-        wait = self._timeouts.find_timeout(forwarding.route.name, longest)
-        forwarding.attempt_timeout = wait
+        wait = self._timeouts.find_timeout(request.route.name, longest)
+        request.attempt_timeout = wait
         return wait
 
-    def on_answer(self, forwarding: ForwardedRequest) -> None:
-        """Learn that the attempt's answer begins to come."""
-        took = self._clock.elapsed() - forwarding.attempt_began
-        self._timeouts.on_answer(forwarding.route.name, took)
+    def on_answer(self, request: ForwardedRequest) -> None:
+        """Record the response time of the current attempt."""
+        took = self._clock.elapsed() - request.attempt_began
+        self._timeouts.on_answer(request.route.name, took)
 
     def on_no_response(
-        self, forwarding: ForwardedRequest, upstream: Upstream
+        self, request: ForwardedRequest, upstream: Upstream
     ) -> None:
-        """Learn that an upstream could not be reached, or did not answer."""
-        forwarding.unresponsive_data_centres.add(upstream.member.data_centre)
+        """Record that an upstream was unreachable or did not respond."""
+        request.unresponsive_data_centres.add(upstream.member.data_centre)
 
     def on_not_sent(
-        self, forwarding: ForwardedRequest, upstream: Upstream
+        self, request: ForwardedRequest, upstream: Upstream
     ) -> None:
-        """Learn that no connection was made for the attempt.
+        """Record that no connection was made for the attempt.
 
-        Upstreams that ended are registered for seconds; the few attempts that
-        a request has are for those that live.
+        A crashed upstream stays registered for seconds. Such attempts don't
+        count, so that the few attempts of a request go to live upstreams.
         """
-        forwarding.unreachable.add(upstream.name)
+        request.unreachable.add(upstream.name)
 
-    def on_timeout(self, forwarding: ForwardedRequest) -> None:
-        """Learn that the attempt's answer did not come in time."""
-        if forwarding.attempt_timeout:
+    def on_timeout(self, request: ForwardedRequest) -> None:
+        """Record that the current attempt timed out."""
+        if request.attempt_timeout:
             self._timeouts.on_timeout(
-                forwarding.route.name, forwarding.attempt_timeout
+                request.route.name, request.attempt_timeout
             )
 
-    def may_repeat(
-        self, forwarding: ForwardedRequest, *, not_run: bool
-    ) -> bool:
-        """Tell whether another upstream may be tried.
+    def may_repeat(self, request: ForwardedRequest, *, not_run: bool) -> bool:
+        """Return whether another upstream may be tried.
 
-        :param not_run: whether the last attempt certainly did not run.
+        :param not_run: whether the last attempt is known not to have run.
         """
-        if not forwarding.replayable:
+        if not request.replayable:
             return False
-        sent = forwarding.attempts - len(forwarding.unreachable)
-        if sent >= forwarding.route.max_attempts:
+        sent = request.attempts - len(request.unreachable)
+        if sent >= request.route.max_attempts:
             return False
-        if self.find_time_left(forwarding) < MIN_TIME_LEFT:
+        if self.find_time_left(request) < MIN_TIME_LEFT:
             return False
-        return not_run or forwarding.repeatable
+        return not_run or request.repeatable
 
-    def build_refusal(self, forwarding: ForwardedRequest) -> Refusal:
-        """Say why a request ends without an upstream's answer."""
-        if self.find_time_left(forwarding) < MIN_TIME_LEFT:
-            return self.build_deadline_refusal(forwarding)
-        if forwarding.may_have_run:
+    def build_refusal(self, request: ForwardedRequest) -> Refusal:
+        """Build the refusal of a request without an upstream's response."""
+        if self.find_time_left(request) < MIN_TIME_LEFT:
+            return self.build_deadline_refusal(request)
+        if request.may_have_run:
             return Refusal(
                 RefusalCode.outcome_unknown,
                 'The upstream gave no whole answer.',
                 not_run=False,
                 step='forward',
             )
-        return _refuse_without(forwarding)
+        return _refuse_unavailable(request)
 
-    def build_deadline_refusal(self, forwarding: ForwardedRequest) -> Refusal:
-        """Say that the time is over."""
-        not_run = not forwarding.may_have_run
+    def build_deadline_refusal(self, request: ForwardedRequest) -> Refusal:
+        """Build the refusal of a request whose deadline has passed."""
+        not_run = not request.may_have_run
         return Refusal(
             RefusalCode.deadline_exceeded,
             'The time for this request is over.',
@@ -207,8 +206,8 @@
         )
 
 
-def _refuse_without(forwarding: ForwardedRequest) -> Refusal:
-    not_run = not forwarding.may_have_run
+def _refuse_unavailable(request: ForwardedRequest) -> Refusal:
+    not_run = not request.may_have_run
     code = RefusalCode.overloaded if not_run else RefusalCode.outcome_unknown
     return Refusal(
         code,
--- a/quetzalcourse/coordination/forwarding/pool.py
+++ b/quetzalcourse/coordination/forwarding/pool.py
@@ -1,4 +1,4 @@
-"""Upstreams of all services: their load, their health, their weights."""
+"""Pool of the upstreams of all services, with their load and health."""
 
 from __future__ import annotations
 
@@ -20,20 +20,19 @@
     from quetzalcourse.state.pool import LoadReport, PoolMember
     from quetzalcourse.state.routing import AllowedRegions
 
-# Ejection after a failed attempt, doubled with each further one.
-FAILURE_BACKOFF = timedelta(milliseconds=500)
-MAX_FAILURE_BACKOFF = timedelta(seconds=4)
-# Weight of a new reading in the running mean of the token latency.
+# Ejection time after a failed attempt, doubled with each further failure.
+BASE_EJECTION_TIME = timedelta(milliseconds=500)
+MAX_EJECTION_TIME = timedelta(seconds=4)
+# Weight of a new sample in the running mean of the token latency.
 LATENCY_WEIGHT = 0.03
-# A single timeout may be a long request; this many in a row eject.
+# A single timeout may be a long request; this many in a row eject an upstream.
 MAX_CONSECUTIVE_TIMEOUTS = 2
-# Time for which an upstream that refuses a model gets no more of it.
-LOADING_BACKOFF = timedelta(milliseconds=300)
-# Candidates that are scored for one request, drawn at random if there are
-# more.
+# How long an upstream that refused a model gets no further requests for it.
+MODEL_REFUSAL_BACKOFF = timedelta(milliseconds=300)
+# Upstreams that are ranked for one request, a random sample if there are more.
 MAX_CANDIDATES = 64
-# Below this share of its slots an upstream with an open connection goes first,
-# which saves opening another one.
+# Upstreams with an open connection are preferred up to this share of their
+# slots, which saves opening another connection.
 KEEPALIVE_MAX_LOAD = 0.5
 # Failures after which an upstream may have restarted unnoticed.
 RESTART_REASONS = frozenset(('not_sent',))
@@ -42,12 +41,13 @@
 
 
 class Pool:
-    """Every upstream that is registered.
+    """Registered upstreams and the load balancing among them.
 
-    :param data_centre: where this daemon stands.
-    :param regions: region of each data centre.
+    ``registration_listeners`` are called whenever a run of an upstream
+    registers.
 
-    ``run_listeners`` are called with each run of an upstream that registers.
+    :param data_centre: data centre of this daemon.
+    :param regions: region of each data centre.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         counters: Counters,
         regions: Mapping[str, str] = NO_REGIONS,
     ) -> None:
-        """Begin without upstreams."""
+        """Start without upstreams."""
         self._regions = regions
         self._data_centre = data_centre
         self._clock = clock
@@ -71,34 +71,37 @@
         self._are_entries_current: Callable[[], bool] = _always
 
     def set_entry_check(self, are_current: Callable[[], bool]) -> None:
-        """Ask whether a restarted upstream would be known by its entry."""
+        """Set the check whether registration entries are up to date.
+
+        While they are not, an upstream may restart without a new entry.
+        """
         self._are_entries_current = are_current
 
     def replace(self, member: PoolMember) -> None:
-        """Take an entry that is new or changed."""
+        """Apply a new or changed registration."""
         known = self._upstreams.get(member.name)
         if known is None or _is_other_run(known.member, member):
-            self._forget(member.name)
+            self._discard(member.name)
             known = Upstream(member)
-            self._keep(known)
+            self._index(known)
             self._log(member, 'Upstream registered.')
-            self._warm_up(known, member.cold_for)
+            self._mark_cold(known, member.cold_for)
             for listener in self.registration_listeners:
                 listener(known)
             return
         if known.member.service != member.service:
-            self._forget(member.name)
+            self._discard(member.name)
             known.member = member
-            self._keep(known)
+            self._index(known)
         if known.member.leaving != member.leaving:
-            self._log(member, 'Upstream leaves.')
+            self._log(member, 'Upstream draining state changed.')
         known.member = member
-        self._locate(known)
-        self._warm_up(known, member.cold_for)
+        self._update_location(known)
+        self._mark_cold(known, member.cold_for)
 
     def remove(self, name: str) -> None:
-        """Forget an upstream that is gone."""
-        known = self._forget(name)
+        """Remove an upstream whose registration is gone."""
+        known = self._discard(name)
         if known is not None:
             self._log(known.member, 'Upstream is gone.')
 
@@ -111,17 +114,17 @@
         return list(self._services.get(service, {}).values())
 
     def on_evacuation(self, data_centre: str) -> None:
-        """Give the upstreams of a data centre no new work."""
+        """Exclude the upstreams of a data centre from new work."""
         self._evacuated.add(data_centre)
         for upstream in self._list_data_centre(data_centre):
             upstream.evacuated = True
 
     def on_evacuation_end(self, data_centre: str) -> None:
-        """Give the upstreams of a data centre work again, as cold ones."""
+        """Include the upstreams of a data centre again, as cold ones."""
         self._evacuated.discard(data_centre)
         for upstream in self._list_data_centre(data_centre):
             upstream.evacuated = False
-            self._warm_up(upstream, self.cold_starts.find_duration(upstream))
+            self._mark_cold(upstream, self.cold_starts.find_duration(upstream))
 
     def count_running(self) -> dict[str, int]:
         """Count this daemon's requests at each upstream that has any."""
@@ -132,7 +135,7 @@
         }
 
     def sample_service(self, service: str) -> list[Upstream]:
-        """List upstreams of a service, no more than are worth weighing."""
+        """List at most :data:`MAX_CANDIDATES` random upstreams of a service."""
         upstreams = self.list_service(service)
         if len(upstreams) <= MAX_CANDIDATES:
             return upstreams
@@ -142,23 +145,23 @@
         self,
         service: str,
         avoided: Collection[str] = (),
-        silent: Collection[str] = (),
+        unresponsive: Collection[str] = (),
         allowed: AllowedRegions = None,
     ) -> Upstream | None:
-        """Choose the upstream for a request, the least loaded one.
+        """Choose the least loaded upstream for a request.
 
-        One that rests is tried only if all do: refusing every caller would
-        be worse than an attempt that may fail.
+        Ejected upstreams are tried only if all are ejected: refusing every
+        caller would be worse than an attempt that may fail.
 
         :param avoided: ids of upstreams that failed this request.
-        :param silent: data centres from which it got no answer. A cut
-            between data centres silences all upstreams behind it, and the
-            next attempt may be the last one that is allowed; it goes where
-            no cut lies between, to the own data centre first.
+        :param unresponsive: data centres from which it got no response. A
+            partition between data centres makes all upstreams behind it
+            unresponsive, and the next attempt may be the last one, so it goes
+            to another data centre, preferably this daemon's own.
         :param allowed: regions where the request may run.
         """
         now = self._clock.elapsed()
-        fit = [
+        candidates = [
             upstream
             for upstream in self.sample_service(service)
             if upstream.name not in avoided
@@ -166,14 +169,20 @@
             and upstream.is_allowed(allowed)
             and self.cold_starts.admits(upstream)
         ]
-        is_open = [upstream for upstream in fit if upstream.is_available(now)]
-        if not is_open:
-            return min(fit, key=lambda one: one.ejected_until, default=None)
+        available = [
+            upstream for upstream in candidates if upstream.is_available(now)
+        ]
+        if not available:
+            return min(
+                candidates,
+                key=lambda upstream: upstream.ejected_until,
+                default=None,
+            )
         return min(
-            is_open,
-            key=lambda one: (
-                _rank_distance(one, self._data_centre, silent),
-                self._rank(one, now),
+            available,
+            key=lambda upstream: (
+                _rank_distance(upstream, self._data_centre, unresponsive),
+                self._rank(upstream, now),
             ),
         )
 
@@ -182,78 +191,87 @@
         upstream: Upstream,
         now: timedelta,
     ) -> tuple[int, bool, float, bool, float]:
-        share = upstream.count_load(now) / upstream.member.slots
-        near = upstream.member.data_centre == self._data_centre
-        kept = now < upstream.keepalive_until and share < KEEPALIVE_MAX_LOAD
-        doubt = 2 * (
+        load = upstream.count_load(now) / upstream.member.slots
+        local = upstream.member.data_centre == self._data_centre
+        connected = now < upstream.keepalive_until and load < KEEPALIVE_MAX_LOAD
+        penalty = 2 * (
             upstream.consecutive_failures > 0
         ) + self.cold_starts.is_cold(upstream)
-        return (doubt, not kept, share, not near, self._random.random())
+        return (penalty, not connected, load, not local, self._random.random())
 
     def on_start(self, upstream: Upstream) -> None:
-        """Count a request that is sent, or a slot that is kept for one."""
+        """Count a request that is sent, or a slot reserved for one."""
         upstream.running += 1
 
     def on_send(self, upstream: Upstream) -> None:
-        """Note when a request is sent."""
+        """Record the time of a request that is sent."""
         upstream.recent_sends.append(self._clock.elapsed())
 
     def on_end(self, upstream: Upstream) -> None:
-        """Count a request that ended."""
+        """Count a request that finished."""
         upstream.running -= 1
 
     def on_idle_connection(
         self, upstream: Upstream, duration: timedelta
     ) -> None:
-        """Learn that a connection to an upstream is open and unused."""
+        """Record that an idle connection to an upstream stays open.
+
+        :param duration: time until the connection is closed.
+        """
         upstream.keepalive_until = self._clock.elapsed() + duration
 
     def on_load(self, upstream: Upstream, load: LoadReport | None) -> None:
-        """Learn the load that an upstream told with an answer."""
+        """Record the load report of a response, if it has one."""
         if load is not None:
             upstream.other_requests = max(0, load.total - upstream.running)
             upstream.other_requests_at = self._clock.elapsed()
 
     def on_success(self, upstream: Upstream) -> None:
-        """Learn that an upstream served a request."""
+        """Record that an upstream served a request, and end its ejection."""
         if upstream.consecutive_failures:
-            self._log(upstream.member, 'Upstream serves again.')
+            self._log(upstream.member, 'Upstream recovered.')
         upstream.consecutive_failures = 0
         upstream.consecutive_timeouts = 0
         upstream.ejected_until = ZERO
 
     def on_failure(self, upstream: Upstream, reason: str) -> None:
-        """Learn that an attempt failed, and eject the upstream."""
-        backoff = min(
-            FAILURE_BACKOFF * 2**upstream.consecutive_failures,
-            MAX_FAILURE_BACKOFF,
+        """Record that an attempt failed, and eject the upstream.
+
+        :param reason: label of the failure in metrics and logs.
+        """
+        ejection = min(
+            BASE_EJECTION_TIME * 2**upstream.consecutive_failures,
+            MAX_EJECTION_TIME,
         )
         upstream.consecutive_failures = min(
             upstream.consecutive_failures + 1, 5
         )
-        upstream.ejected_until = self._clock.elapsed() + backoff
+        upstream.ejected_until = self._clock.elapsed() + ejection
         if reason in RESTART_REASONS and not self._are_entries_current():
             cold_for = self.cold_starts.find_duration(upstream)
-            self._warm_up(upstream, backoff + cold_for)
+            self._mark_cold(upstream, ejection + cold_for)
         self._counters.add('upstream_failures', reason=reason)
         log.warning(
             'Upstream ejected.',
             upstream=upstream.name,
             peer=upstream.member.address,
             reason=reason,
-            seconds=backoff.total_seconds(),
+            seconds=ejection.total_seconds(),
         )
 
     def on_timeout(self, upstream: Upstream) -> None:
-        """Learn that an answer did not come in time."""
+        """Record that an attempt timed out."""
         upstream.consecutive_timeouts += 1
         if upstream.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
             self.on_failure(upstream, 'late')
 
     def on_model_refused(self, upstream: Upstream, model: str) -> None:
-        """Learn that an upstream refuses a model, or all work, for now."""
+        """Record that an upstream refused a request for a model, or all work.
+
+        :param model: empty if it refuses all work for now.
+        """
         upstream.unavailable_until[model] = (
-            self._clock.elapsed() + LOADING_BACKOFF
+            self._clock.elapsed() + MODEL_REFUSAL_BACKOFF
         )
 
     def on_loading(
@@ -262,24 +280,27 @@
         model: str,
         duration: timedelta,
     ) -> None:
-        """Learn that an upstream refuses a model while it loads weights."""
+        """Record that an upstream refuses a model while it loads weights.
+
+        :param duration: expected duration of the load.
+        """
         until = self._clock.elapsed() + duration
         upstream.unavailable_until[model] = max(
             upstream.unavailable_until.get(model, ZERO), until
         )
 
     def on_version(self, upstream: Upstream, model: str, version: int) -> None:
-        """Learn the weight version that an answer was made with."""
+        """Record the weight version that generated a response."""
         if version > upstream.find_version(model):
             upstream.versions[model] = version
-            # What it refused while it loaded it takes now.
+            # The load that made it refuse the model has finished.
             upstream.unavailable_until.pop(model, None)
 
     def on_token_latency(self, upstream: Upstream, seconds: float) -> None:
-        """Learn the time between two events of a stream."""
+        """Record the time between two events of a stream."""
         upstream.latency_samples += 1
-        known = upstream.mean_token_latency or seconds
-        upstream.mean_token_latency = known + (seconds - known) * LATENCY_WEIGHT
+        mean = upstream.mean_token_latency or seconds
+        upstream.mean_token_latency = mean + (seconds - mean) * LATENCY_WEIGHT
 
     def _list_data_centre(self, data_centre: str) -> list[Upstream]:
         return [
@@ -288,40 +309,40 @@
             if upstream.member.data_centre == data_centre
         ]
 
-    def _warm_up(self, upstream: Upstream, duration: timedelta) -> None:
-        """Treat an upstream as cold for some time."""
+    def _mark_cold(self, upstream: Upstream, duration: timedelta) -> None:
+        """Limit the rate of an upstream for some time."""
         if not duration:
             return
         now = self._clock.elapsed()
         if not upstream.is_cold(now):
             log.info(
-                'Upstream is cold.',
+                'Upstream cold start began.',
                 upstream=upstream.name,
                 data_centre=upstream.member.data_centre,
                 seconds=duration.total_seconds(),
             )
         upstream.cold_until = max(upstream.cold_until, now + duration)
 
-    def _locate(self, upstream: Upstream) -> None:
+    def _update_location(self, upstream: Upstream) -> None:
         data_centre = upstream.member.data_centre
         upstream.region = self._regions.get(data_centre, '')
         upstream.evacuated = data_centre in self._evacuated
 
-    def _keep(self, upstream: Upstream) -> None:
+    def _index(self, upstream: Upstream) -> None:
         member = upstream.member
-        self._locate(upstream)
+        self._update_location(upstream)
         self._upstreams[member.name] = upstream
         self._services.setdefault(member.service, {})[member.name] = upstream
 
-    def _forget(self, name: str) -> Upstream | None:
+    def _discard(self, name: str) -> Upstream | None:
         known = self._upstreams.pop(name, None)
         if known is not None:
             self._services[known.member.service].pop(name)
         return known
 
-    def _log(self, member: PoolMember, sentence: str) -> None:
+    def _log(self, member: PoolMember, event: str) -> None:
         log.info(
-            sentence,
+            event,
             upstream=member.name,
             peer=member.address,
             data_centre=member.data_centre,
@@ -329,26 +350,27 @@
 
 
 def _is_other_run(known: PoolMember, member: PoolMember) -> bool:
-    """Tell whether an entry is of another run, of which nothing is known."""
-    before = (known.address, known.started)
-    return before != (member.address, member.started)
+    """Return whether a registration is of another run of the upstream."""
+    previous = (known.address, known.started)
+    return previous != (member.address, member.started)
 
 
 def _always() -> bool:
-    """Tell that entries are current where nobody follows them."""
+    """Return ``True``, for a pool that gets no registration entries."""
     return True
 
 
 def _rank_distance(
     upstream: Upstream,
     own: str,
-    silent: Collection[str],
+    unresponsive: Collection[str],
 ) -> int:
-    """Rank an upstream after an attempt that got no answer.
+    """Rank an upstream after an attempt that got no response.
 
     :param own: data centre of this daemon.
+    :param unresponsive: data centres without a response.
     """
-    if not silent:
+    if not unresponsive:
         return 0
-    place = upstream.member.data_centre
-    return 2 if place in silent else int(place != own)
+    data_centre = upstream.member.data_centre
+    return 2 if data_centre in unresponsive else int(data_centre != own)
--- a/quetzalcourse/coordination/forwarding/registrations.py
+++ b/quetzalcourse/coordination/forwarding/registrations.py
@@ -1,4 +1,9 @@
-"""Which entries of upstreams count, also after the store was away."""
+"""Registration entries of upstreams, applied from the store to the pool.
+
+Entries expire in the store unless their upstreams renew them. During a store
+outage no upstream can renew, so entries that expire then are kept until the
+upstreams have had time to register again.
+"""
 
 from __future__ import annotations
 
@@ -21,17 +26,17 @@
 
     Reader = Callable[[str, bytes], Result[PoolMember, str]]
 
-# Upstreams whose entries lapsed while the store was away register again
-# within two seconds of its return; one that does not by then is gone.
+# Upstreams whose entries expired during a store outage register again within
+# two seconds of its recovery; one that does not is gone.
 REREGISTRATION_GRACE = timedelta(seconds=2)
 CHECK_INTERVAL = timedelta(milliseconds=250)
 log = get_log('pool')
 
 
 class Registrations:
-    """Brings the entries of the store into the pool.
+    """Applies the store's registration entries to the pool.
 
-    :param read: reads an entry, given the upstream's id and its content.
+    :param read: decodes an entry, given the upstream's id and its content.
     """
 
     def __init__(
@@ -41,46 +46,46 @@
         read: Reader,
         clock: Clock,
     ) -> None:
-        """Follow the entries."""
+        """Subscribe to the entries."""
         self._follower = follower
         self._pool = pool
         self._read = read
         self._clock = clock
-        self._lapsed: set[str] = set()
-        self._lapsing = asyncio.Event()
+        self._expired: set[str] = set()
+        self._has_expired = asyncio.Event()
         follower.on_rows(self.on_rows)
         pool.set_entry_check(self.are_current)
 
     def on_rows(self, rows: list[Row]) -> None:
-        """Take entries that changed."""
+        """Apply changed entries."""
         for row in rows:
             name = row.key.rpartition('/')[2]
             if row.removed:
                 self._on_removed(name)
             else:
-                self._lapsed.discard(name)
+                self._expired.discard(name)
                 self._on_entry(name, row.content)
 
     def are_current(self) -> bool:
-        """Tell whether entries come in as upstreams write them."""
+        """Return whether entries arrive as upstreams write them."""
         return self._follower.steady_for > REREGISTRATION_GRACE
 
     async def run(self) -> None:
-        """Give up lapsed entries once their time is over."""
+        """Remove expired entries once their upstreams could have returned."""
         while True:
-            await self._lapsing.wait()
+            await self._has_expired.wait()
             await self._clock.sleep(CHECK_INTERVAL)
             if self.are_current():
-                for name in self._lapsed:
+                for name in self._expired:
                     self._pool.remove(name)
-                self._lapsed.clear()
-                self._lapsing.clear()
+                self._expired.clear()
+                self._has_expired.clear()
 
     def _on_entry(self, name: str, content: bytes) -> None:
         answer = self._read(name, content)
         if isinstance(answer, Err):
-            # Something else wrote there; it names no upstream to use.
-            log.warning('Entry is malformed.', upstream=name)
+            # Written by something other than an upstream: not to be used.
+            log.warning('Upstream registration is malformed.', upstream=name)
             self._pool.remove(name)
             return
         self._pool.replace(answer.ok_value)
@@ -89,6 +94,9 @@
         if self.are_current():
             self._pool.remove(name)
             return
-        log.info('Entry lapsed while the store was away.', upstream=name)
-        self._lapsed.add(name)
-        self._lapsing.set()
+        log.info(
+            'Upstream registration expired during a store outage.',
+            upstream=name,
+        )
+        self._expired.add(name)
+        self._has_expired.set()
--- a/quetzalcourse/coordination/forwarding/residency.py
+++ b/quetzalcourse/coordination/forwarding/residency.py
@@ -1,9 +1,9 @@
-"""In which regions requests and their bodies may be handled.
+"""Data residency: the regions where requests and their bodies may be handled.
 
 Operators bind routes and client accounts to regions. A request runs only at
-upstreams of those regions, and its body leaves the daemon that took it only
-for daemons there: with a batch that is offered, taken over, or written by way
-of another daemon while the store is out of reach.
+upstreams of those regions, and the daemon that accepted it passes its body
+only to daemons of those regions: when a batch is offered or taken over, or is
+written through another daemon while the store is unreachable.
 """
 
 from __future__ import annotations
@@ -20,13 +20,12 @@
 
 
 class Residency:
-    """Knows the regions of data centres, and what is bound to which.
+    """Looks up the regions that requests and batches are bound to.
 
     :param regions: region of each data centre.
     """
 
     def __init__(self, regions: Mapping[str, str], routes: RouteTable) -> None:
-        """Keep the parts."""
         self.routes = routes
         self._regions = regions
 
@@ -35,20 +34,20 @@
         route: Route | None,
         client_account: str,
     ) -> AllowedRegions:
-        """Find the regions of a route's requests, ``None`` if any will do."""
-        of_route = route.allowed_regions if route is not None else None
-        of_account = self.routes.find_account_regions(client_account)
-        if of_route is None or of_account is None:
-            return of_account if of_route is None else of_route
-        return of_route & of_account
+        """Find the regions of a route's requests, ``None`` if unrestricted."""
+        by_route = route.allowed_regions if route is not None else None
+        by_account = self.routes.find_account_regions(client_account)
+        if by_route is None or by_account is None:
+            return by_account if by_route is None else by_route
+        return by_route & by_account
 
     def find_batch_regions(self, head: BatchHead) -> AllowedRegions:
-        """Find the regions of a batch, ``None`` if any will do."""
+        """Find the regions of a batch, ``None`` if unrestricted."""
         route = self.routes.find(head.route)
         return self.find_allowed(route, head.client_account)
 
     def may_store_items(self, head: BatchHead, member: Member) -> bool:
-        """Tell whether a daemon may be sent the items of a batch."""
+        """Return whether a daemon may receive the items of a batch."""
         allowed = self.find_batch_regions(head)
         return allowed is None or self._find_region(member) in allowed
 
@@ -58,24 +57,31 @@
         members: Iterable[Member],
         owner: str,
     ) -> list[Member]:
-        """List the daemons that may take a batch over.
+        """List the daemons that may take over a batch.
 
-        A caller elsewhere has its batch run by a daemon near itself. Where no
-        daemon stands in an allowed region, those near that owner follow it.
+        A caller outside the allowed regions has its batch run by a daemon
+        near itself. If no daemon is in an allowed region, the daemons of that
+        owner's region are the candidates.
 
-        :param owner: data centre of the owner, empty if it is not known.
+        :param owner: data centre of the owner, empty if unknown.
         """
-        everyone = list(members)
+        candidates = list(members)
         if head is None:
-            return everyone
-        allowed = [one for one in everyone if self.may_store_items(head, one)]
+            return candidates
+        allowed = [
+            member
+            for member in candidates
+            if self.may_store_items(head, member)
+        ]
         region = self._regions.get(owner, '')
         return allowed or [
-            one for one in everyone if self._find_region(one) == region
+            member
+            for member in candidates
+            if self._find_region(member) == region
         ]
 
     def may_relay(self, own: Member, member: Member) -> bool:
-        """Tell whether a daemon may write for another one to the store."""
+        """Return whether a daemon may write to the store for another one."""
         if not self.routes.restricts_regions:
             return True
         return self._find_region(own) == self._find_region(member)
--- a/quetzalcourse/coordination/forwarding/route_table.py
+++ b/quetzalcourse/coordination/forwarding/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and whom it runs for."""
+"""Route lookup and API key authentication by the routing manifest."""
 
 from __future__ import annotations
 
@@ -27,41 +27,43 @@
 
 
 class RouteTable:
-    """The routing manifest that is in force."""
+    """Indexes the routing manifest that is in force."""
 
     def __init__(self) -> None:
-        """Begin without a manifest."""
+        """Start without a manifest."""
         self.manifest: RoutingManifest | None = None
         self._routes: dict[str, dict[str, Route]] = {}
-        self._names: dict[str, Route] = {}
-        self._holders: dict[bytes, AccountKeys] = {}
+        self._routes_by_name: dict[str, Route] = {}
+        self._accounts_by_digest: dict[bytes, AccountKeys] = {}
         self._account_regions: dict[str, AllowedRegions] = {}
         self._listeners: list[Listener] = []
 
     @property
     def version(self) -> int:
-        """Version in force, 0 before the first."""
+        """Version in force, 0 without a manifest."""
         return self.manifest.version if self.manifest else 0
 
     @property
     def models(self) -> list[str]:
-        """Models of all services, sorted."""
+        """Names of the models of all services, sorted."""
         if self.manifest is None:
             return []
         services = self.manifest.services.values()
-        return sorted({model for one in services for model in one.models})
+        return sorted(
+            {model for service in services for model in service.models}
+        )
 
     def on_manifest(self, listener: Listener) -> None:
-        """Call a listener with each manifest that comes into force."""
+        """Register a listener that is called with each applied manifest."""
         self._listeners.append(listener)
 
     def adopt(self, manifest: RoutingManifest) -> bool:
-        """Put a manifest into force if it is newer.
+        """Apply a manifest if it is newer than the current one.
 
-        A version that was in force never comes back: callers that saw its
-        successor would find their routes and keys gone again.
+        An older version is never applied again: callers that used its
+        successor would lose their routes and keys.
 
-        :returns: whether it is in force now.
+        :returns: whether it was applied.
         """
         if manifest.version <= self.version:
             return False
@@ -69,30 +71,30 @@
         self._routes = {}
         for route in manifest.routes:
             self._routes.setdefault(route.host, {})[route.prefix] = route
-        self._names = {route.name: route for route in manifest.routes}
-        self._holders = {
-            digest: holder
-            for holder in manifest.accounts or ()
-            for digest in holder.key_digests
+        self._routes_by_name = {route.name: route for route in manifest.routes}
+        self._accounts_by_digest = {
+            digest: account
+            for account in manifest.accounts or ()
+            for digest in account.key_digests
         }
         self._account_regions = {
-            holder.client_account: holder.allowed_regions
-            for holder in manifest.accounts or ()
+            account.client_account: account.allowed_regions
+            for account in manifest.accounts or ()
         }
         log.info(
             'Manifest in force.',
             version=manifest.version,
             routes=len(manifest.routes),
-            keys=len(self._holders),
+            keys=len(self._accounts_by_digest),
         )
         for listener in self._listeners:
             listener(manifest)
         return True
 
     def match(self, host: str, path: str) -> Route:
-        """Find the route with the longest prefix that begins a path.
+        """Find the route of a host with the longest prefix of a path.
 
-        :raises RefusedError: if there is none, or no manifest yet.
+        :raises RefusedError: if no route matches, or no manifest is loaded.
         """
         if self.manifest is None:
             raise RefusedError(_refuse_unready())
@@ -107,25 +109,25 @@
 
     def find(self, name: str) -> Route | None:
         """Find a route by its name."""
-        return self._names.get(name)
+        return self._routes_by_name.get(name)
 
     def find_account_regions(self, client_account: str) -> AllowedRegions:
-        """Find the regions of a client account, ``None`` if any will do."""
+        """Find the regions of a client account, ``None`` if unrestricted."""
         return self._account_regions.get(client_account)
 
     @property
     def restricts_regions(self) -> bool:
         """Whether any route or client account is bound to regions."""
         routes = self.manifest.routes if self.manifest else ()
-        of_routes = any(route.allowed_regions is not None for route in routes)
-        return of_routes or any(
+        by_route = any(route.allowed_regions is not None for route in routes)
+        return by_route or any(
             allowed is not None for allowed in self._account_regions.values()
         )
 
     def authenticate(self, key: str) -> AccountKeys | None:
-        """Find the client account that a key acts for.
+        """Find the client account of an API key.
 
-        :returns: ``None`` where no keys are asked for.
+        :returns: ``None`` if the manifest requires no keys.
         :raises RefusedError: if no account has the key.
         """
         if self.manifest is None:
@@ -133,24 +135,24 @@
         if self.manifest.accounts is None:
             return None
         digest = hashlib.sha256(key.encode(errors='surrogateescape')).digest()
-        holder = self._holders.get(digest)
-        if holder is None:
+        account = self._accounts_by_digest.get(digest)
+        if account is None:
             raise RefusedError(_refuse_key())
-        return holder
+        return account
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Choose the service that a request goes to, by the targets' weights.
+    """Choose the service of a request by the weights of the route's targets.
 
-    :param request_id: the same id always goes to the same service.
+    :param request_id: hashed, so that the same id always gets the same service.
     """
     if len(route.targets) == 1:
         return route.targets[0].service
     total = sum(target.weight for target in route.targets)
-    place = xxhash.xxh32_intdigest(request_id.encode()) % max(total, 1)
+    point = xxhash.xxh32_intdigest(request_id.encode()) % max(total, 1)
     for target in route.targets:
-        place -= target.weight
-        if place < 0:
+        point -= target.weight
+        if point < 0:
             return target.service
     return route.targets[-1].service
 
--- a/quetzalcourse/coordination/forwarding/upstream.py
+++ b/quetzalcourse/coordination/forwarding/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream, and what one daemon knows of it."""
+"""State of one upstream as this daemon sees it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     from quetzalcourse.state.pool import PoolMember
     from quetzalcourse.state.routing import AllowedRegions
 
-# Age until which a load report counts.
+# Load reports older than this are ignored.
 REPORT_TTL = timedelta(seconds=1.5)
-# Readings before the mean token latency is used.
-MIN_LATENCY_READINGS = 12
-# Sent requests that are remembered for each upstream.
+# Samples needed before the mean token latency is used.
+MIN_LATENCY_SAMPLES = 12
+# Send times that are kept for each upstream.
 MAX_RECENT_SENDS = 64
 ZERO = timedelta(0)
 
@@ -26,24 +26,30 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """An upstream and what this daemon knows of it.
-
-    :param region: region of its data centre, empty if it is not known.
-    :param running: requests that this daemon has there.
-    :param other_requests: requests of other daemons when it told its load.
-    :param consecutive_failures: failed attempts since the last good one.
-    :param ejected_until: time since boot until which it is ejected.
-    :param consecutive_timeouts: answers in a row that did not come in time.
-    :param latency_samples: readings of its token latency.
-    :param mean_token_latency: running mean of the time between two events.
-    :param versions: weight versions seen in answers, newer than registered.
-    :param unavailable_until: models that it refuses for now, and until when.
-    :param keepalive_until: until when a connection to it is kept open.
-    :param peer_items: running items of other daemons, as they told themselves.
-    :param peer_items_until: until when that says more than the upstream's word.
+    """An upstream: its registration, health and load.
+
+    All points in time are given as time since boot.
+
+    :param region: region of its data centre, empty if unknown.
+    :param running: requests of this daemon that it runs.
+    :param other_requests: requests of other daemons, by its last load report.
+    :param other_requests_at: when that load report came.
+    :param consecutive_failures: failed attempts since the last successful one.
+    :param ejected_until: end of its ejection from load balancing.
+    :param consecutive_timeouts: attempts in a row that timed out.
+    :param latency_samples: number of samples of its token latency.
+    :param mean_token_latency: running mean of the time between two events of
+        a stream, in seconds.
+    :param versions: newest weight version of each model seen in responses;
+        may be newer than the registered ones.
+    :param unavailable_until: until when it is expected to refuse each model.
+    :param keepalive_until: until when an idle connection to it stays open.
+    :param peer_items: items that other daemons run there, as they reported.
+    :param peer_items_until: until when these reports take precedence over the
+        upstream's own load report.
     :param evacuated: whether operators evacuate its data centre.
-    :param cold_until: time since boot until which it takes few requests.
-    :param recent_sends: when this daemon sent it the last requests, oldest
+    :param cold_until: end of its cold start, during which its rate is limited.
+    :param recent_sends: times of this daemon's last requests to it, oldest
         first.
     """
 
@@ -73,21 +79,21 @@
 
     @property
     def token_latency(self) -> float:
-        """Mean time in seconds between two events, 0 if unknown."""
-        if self.latency_samples < MIN_LATENCY_READINGS:
+        """Mean time between two events in seconds, 0 with too few samples."""
+        if self.latency_samples < MIN_LATENCY_SAMPLES:
             return 0
         return self.mean_token_latency
 
     @property
     def run_id(self) -> tuple[str, int]:
-        """Name of this run of the upstream."""
+        """Name and start of this run, which identify it across restarts."""
         return self.member.name, self.member.started
 
     def count_load(self, now: timedelta) -> int:
-        """Count the requests that it has, as far as is known.
+        """Estimate the number of requests that it has.
 
-        What an upstream says is as old as its last answer here; daemons that
-        run batches tell each other at once.
+        Its own load report is as old as its last response to this daemon;
+        daemons that run batches report their items to each other immediately.
         """
         if now < self.peer_items_until:
             return self.running + self.peer_items
@@ -96,36 +102,36 @@
         return self.running + self.other_requests
 
     def find_version(self, model: str) -> int:
-        """Tell the newest weight version that it is known to hold."""
+        """Return the newest weight version that it is known to hold."""
         registered = self.member.versions.get(model, 0)
         return max(registered, self.versions.get(model, 0))
 
     def can_run(self, model: str, oldest: int, now: timedelta) -> bool:
-        """Tell whether it takes items of a model.
+        """Return whether it can run items of a model.
 
-        :param oldest: oldest weight version that may make their tokens.
+        :param oldest: oldest weight version that may generate their tokens.
         """
         if not self.is_available(now) or self.find_version(model) < oldest:
             return False
         return self.unavailable_until.get(model, ZERO) <= now
 
     def is_allowed(self, allowed: AllowedRegions) -> bool:
-        """Tell whether it stands in one of the regions."""
+        """Return whether it is in one of the regions."""
         return allowed is None or self.region in allowed
 
     @property
     def accepts_work(self) -> bool:
-        """Whether operators and the upstream itself let it take new work."""
+        """Whether it is neither draining nor evacuated."""
         return not self.member.leaving and not self.evacuated
 
     def is_available(self, now: timedelta) -> bool:
-        """Tell whether it may be given work."""
+        """Return whether it accepts work and is not ejected."""
         return self.accepts_work and now >= self.ejected_until
 
     def is_cold(self, now: timedelta) -> bool:
-        """Tell whether it started so recently that it takes few requests."""
+        """Return whether it is in its cold start and its rate is limited."""
         return now < self.cold_until
 
     def count_sent(self, since: timedelta) -> int:
-        """Count the requests that this daemon sent it since a time."""
+        """Count the requests that this daemon sent to it since a time."""
         return sum(sent > since for sent in self.recent_sends)
--- a/quetzalcourse/tests/coordination/batches/placement_tests.py
+++ b/quetzalcourse/tests/coordination/batches/placement_tests.py
@@ -17,7 +17,7 @@
 )
 from quetzalcourse.coordination.forwarding.pool import MAX_CANDIDATES, Pool
 from quetzalcourse.coordination.forwarding.upstream import (
-    MIN_LATENCY_READINGS,
+    MIN_LATENCY_SAMPLES,
     Upstream,
 )
 from quetzalcourse.state.counters import Counters
@@ -69,7 +69,7 @@
 
     def set_pace(self, number: int, seconds: float) -> None:
         """Let an engine's streams have a token latency."""
-        for _ in range(MIN_LATENCY_READINGS * 5):
+        for _ in range(MIN_LATENCY_SAMPLES * 5):
             self.pool.on_token_latency(self.find(number), seconds)
 
 
--- a/quetzalcourse/tests/coordination/batches/runner_tests.py
+++ b/quetzalcourse/tests/coordination/batches/runner_tests.py
@@ -15,7 +15,7 @@
 from quetzalcourse.coordination.batches.scoring import ItemScoring
 from quetzalcourse.coordination.forwarding.pool import Pool
 from quetzalcourse.coordination.forwarding.upstream import (
-    MIN_LATENCY_READINGS,
+    MIN_LATENCY_SAMPLES,
 )
 from quetzalcourse.coordination.forwarding.residency import Residency
 from quetzalcourse.coordination.forwarding.route_table import RouteTable
@@ -134,7 +134,7 @@
         """Let an engine's streams have a token latency."""
         upstream = self.pool.find(name)
         assert upstream is not None
-        for _ in range(MIN_LATENCY_READINGS * 5):
+        for _ in range(MIN_LATENCY_SAMPLES * 5):
             self.pool.on_token_latency(upstream, seconds)
 
     def count_running(self) -> dict[str, int]:
--- a/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
@@ -1,4 +1,4 @@
-"""Rates at upstreams that have just started, replayed under bursts."""
+"""Request rates of cold upstreams under bursts of items and requests."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 LIMIT = int(COLD.requests_per_second * TERMS.overage) + TERMS.slack
 WINDOW = timedelta(seconds=1)
 TICK = timedelta(milliseconds=20)
-# Items of a model whose texts are a few tokens long.
+# Duration of an item whose text is a few tokens long.
 ITEM_TICKS = 5
 
 
@@ -62,23 +62,23 @@
     """Requests that reached the upstreams, from all daemons."""
 
     def __init__(self) -> None:
-        """Begin without requests."""
+        """Start without requests."""
         self._times: dict[str, list[timedelta]] = defaultdict(list)
 
     def add(self, upstream: str, now: timedelta) -> None:
-        """Note a request."""
+        """Record the arrival of a request."""
         self._times[upstream].append(now)
 
     def count(self, upstream: str) -> int:
-        """Count all requests of an upstream."""
+        """Count all requests to an upstream."""
         return len(self._times[upstream])
 
     def find_peak(self) -> int:
-        """Count the most requests of an upstream in any second."""
+        """Find the highest number of requests to an upstream in a second."""
         return max(
-            sum(begin <= one < begin + WINDOW for one in times)
+            sum(start <= arrival < start + WINDOW for arrival in times)
             for times in self._times.values()
-            for begin in times
+            for start in times
         )
 
 
@@ -93,7 +93,7 @@
         members: list[Member],
         network: FakeNetwork,
     ) -> None:
-        """Begin with upstreams that are warm."""
+        """Start with warm upstreams."""
         self.clock = clock
         self.pool = Pool('hall-a', clock, Counters())
         number = COORDINATORS.index(member) if member in COORDINATORS else 0
@@ -110,7 +110,7 @@
         self.announce(timedelta(0), started=1)
 
     def announce(self, cold_for: timedelta, *, started: int) -> None:
-        """Let every upstream register as another run."""
+        """Register every upstream as a new run."""
         self.running = []
         for number in range(UPSTREAMS):
             self.pool.replace(
@@ -127,7 +127,7 @@
             )
 
     def place_items(self, arrivals: Arrivals) -> None:
-        """Send as many items as find a slot, and end the oldest ones."""
+        """Finish the oldest items, then send as many as find a slot."""
         ended = [name for name, ticks in self.running if ticks == 1]
         self.running = [
             (name, ticks - 1) for name, ticks in self.running if ticks > 1
@@ -153,8 +153,8 @@
         return chosen is not None
 
 
-async def play_step(clock: FakeClock, daemons: list[Daemon]) -> Arrivals:
-    """Let a step begin everywhere just after all upstreams restarted."""
+async def run_step(clock: FakeClock, daemons: list[Daemon]) -> Arrivals:
+    """Start a step at all daemons just after all upstreams restarted."""
     for daemon in daemons:
         daemon.updates.on_begin()
         daemon.updates.tell([])
@@ -172,10 +172,10 @@
     return arrivals
 
 
-def build_coordinators(clock: FakeClock, *, cut: bool) -> list[Daemon]:
+def build_coordinators(clock: FakeClock, *, partitioned: bool) -> list[Daemon]:
     """Build the coordinators.
 
-    :param cut: whether none of them hears another one.
+    :param partitioned: whether they can't reach each other.
     """
     shared = FakeNetwork()
     return [
@@ -184,28 +184,30 @@
             RouteKind.batch,
             member,
             list(COORDINATORS),
-            FakeNetwork() if cut else shared,
+            FakeNetwork() if partitioned else shared,
         )
         for member in COORDINATORS
     ]
 
 
-@pytest.mark.parametrize('cut', [False, True])
-async def test_items_of_a_burst_stay_below_the_rate(*, cut: bool) -> None:
-    """Guards against a data centre that crashes again as it comes back."""
+@pytest.mark.parametrize('partitioned', [False, True])
+async def test_burst_of_items_stays_below_rate_limit(
+    *, partitioned: bool
+) -> None:
+    """Guards against a data centre that crashes again on recovery."""
     clock = FakeClock()
-    daemons = build_coordinators(clock, cut=cut)
-    arrivals = await play_step(clock, daemons)
+    daemons = build_coordinators(clock, partitioned=partitioned)
+    arrivals = await run_step(clock, daemons)
     assert arrivals.find_peak() <= LIMIT
     used = [arrivals.count(f'e-{number}') for number in range(UPSTREAMS)]
     assert min(used) >= COLD.duration.total_seconds()
 
 
-async def test_warm_upstream_takes_any_number() -> None:
+async def test_warm_upstream_has_no_rate_limit() -> None:
     """Guards against a limit that outlives the cold start."""
     clock = FakeClock()
-    daemons = build_coordinators(clock, cut=False)
-    await play_step(clock, daemons)
+    daemons = build_coordinators(clock, partitioned=False)
+    await run_step(clock, daemons)
     arrivals = Arrivals()
     for _ in range(WINDOW // TICK):
         for daemon in daemons:
@@ -214,10 +216,10 @@
     assert arrivals.count('e-0') > LIMIT
 
 
-async def test_coordinator_that_just_began_does_not_lead() -> None:
+async def test_newly_started_coordinator_does_not_lead() -> None:
     """Guards against restarted coordinators that all fill a cold upstream."""
     clock = FakeClock()
-    daemon = build_coordinators(clock, cut=False)[0]
+    daemon = build_coordinators(clock, partitioned=False)[0]
     daemon.announce(COLD.duration, started=2)
     daemon.updates.on_begin()
     arrivals = Arrivals()
@@ -226,8 +228,10 @@
 
 
 @pytest.mark.parametrize('count', [1, 4, 66])
-async def test_requests_of_all_daemons_stay_below_the_rate(count: int) -> None:
-    """Guards against every daemon choosing the upstream without load."""
+async def test_requests_of_all_daemons_stay_below_rate_limit(
+    count: int,
+) -> None:
+    """Guards against every daemon choosing the idle upstream at once."""
     clock = FakeClock()
     members = [
         Member(f'vm-{number}', f'vm-{number}-run', 'hall-a', f'{number}:1')
@@ -248,10 +252,10 @@
     assert served >= UPSTREAMS * 2
 
 
-def test_unreachable_upstream_counts_as_restarted_without_entries() -> None:
-    """Guards against a burst at a restarted upstream in a store outage."""
+def test_unreachable_upstream_counts_as_restarted_during_store_outage() -> None:
+    """Guards against a burst at an upstream that restarted without an entry."""
     clock = FakeClock()
-    daemon = build_coordinators(clock, cut=False)[0]
+    daemon = build_coordinators(clock, partitioned=False)[0]
     upstream = daemon.pool.find('e-0')
     assert upstream is not None
     daemon.pool.on_failure(upstream, 'not_sent')
@@ -271,12 +275,12 @@
     ('rate', 'overage', 'slack', 'budget'),
     [(9.5, 1.5, 5, 6), (2, 1, 0, 0), (3, 1, 0, 1), (100, 1, 0, 33)],
 )
-def test_budget_leaves_room_for_differing_views(
+def test_budget_leaves_room_for_divergent_views(
     rate: float,
     overage: float,
     slack: int,
     budget: int,
 ) -> None:
-    """Guards against a limit that holds only while all daemons agree."""
+    """Guards against a limit that holds only if all membership views agree."""
     terms = ColdStartTerms(overage, slack)
     assert compute_sender_budget(ColdStart(WINDOW, rate), terms) == budget
--- a/quetzalcourse/tests/coordination/forwarding/evacuation_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/evacuation_tests.py
@@ -1,4 +1,4 @@
-"""Data centres that operators evacuate."""
+"""Evacuation of data centres."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class LongColdStarts(NoColdStartLimits):
-    """Upstreams that are cold for a while after their start."""
+    """Policy with a fixed cold-start duration."""
 
     def find_duration(self, _: Upstream) -> timedelta:
-        """Tell how long."""
+        """Return the same duration for every upstream."""
         return COLD_FOR
 
 
 @pytest.fixture
 def pool() -> Pool:
-    """Give a pool with an upstream in each of two data centres."""
+    """Build a pool with an upstream in each of two data centres."""
     built = Pool('hall-a', FakeClock(), Counters())
     built.cold_starts = LongColdStarts()
     built.replace(NEAR)
@@ -39,8 +39,8 @@
     return built
 
 
-def test_evacuated_data_centre_gets_no_request(pool: Pool) -> None:
-    """Guards against work that is sent to a data centre about to go dark."""
+def test_evacuated_data_centre_gets_no_requests(pool: Pool) -> None:
+    """Guards against work sent to a data centre that is about to lose power."""
     evacuations = Evacuations(pool, Counters())
     evacuations.on_request('hall-a')
     assert pool.choose('app') is pool.find('far')
@@ -50,7 +50,9 @@
     assert pool.choose('app') is pool.find('near')
 
 
-def test_upstream_that_registers_meanwhile_gets_none(pool: Pool) -> None:
+def test_upstream_registered_during_evacuation_gets_no_requests(
+    pool: Pool,
+) -> None:
     """Guards against a restarted upstream that escapes the evacuation."""
     evacuations = Evacuations(pool, Counters())
     evacuations.on_request('hall-a')
@@ -60,8 +62,8 @@
     assert pool.choose('app') is None
 
 
-def test_upstreams_are_cold_after_an_evacuation(pool: Pool) -> None:
-    """Guards against a burst at upstreams that were restarted meanwhile."""
+def test_upstreams_are_cold_after_evacuation(pool: Pool) -> None:
+    """Guards against a burst at upstreams restarted during the evacuation."""
     evacuations = Evacuations(pool, Counters())
     evacuations.on_removal('hall-a')
     near = pool.find('near')
@@ -73,7 +75,7 @@
     assert not near.is_cold(FakeClock().elapsed() + COLD_FOR)
 
 
-def test_scoring_calls_avoid_an_evacuated_data_centre(pool: Pool) -> None:
+def test_scoring_calls_avoid_evacuated_data_centre(pool: Pool) -> None:
     """Guards against scoring calls that ignore an evacuation."""
     Evacuations(pool, Counters()).on_request('hall-a')
     upstreams = pool.list_service('app')
--- a/quetzalcourse/tests/coordination/forwarding/fingerprint_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/fingerprint_tests.py
@@ -1,4 +1,4 @@
-"""Fingerprints: which requests count as repeats of one another."""
+"""Request fingerprints: which requests count as repeats of each other."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize('position', range(4))
-def test_each_field_tells_requests_apart(position: int) -> None:
-    """Guards against requests of different callers or paths that mix."""
+def test_each_field_changes_the_fingerprint(position: int) -> None:
+    """Guards against equal fingerprints for different callers or paths."""
     method, host, target, account = (
         text + 'x' * (number == position) for number, text in enumerate(REQUEST)
     )
@@ -22,21 +22,21 @@
     assert changed != compute_fingerprint(*REQUEST, [b'salt'])
 
 
-def test_fields_do_not_run_into_each_other() -> None:
-    """Guards against a path whose end passes for the next field."""
+def test_field_boundaries_change_the_fingerprint() -> None:
+    """Guards against a path whose end is taken for part of the next field."""
     first = compute_fingerprint('POST', 'host', '/a', 'bc', [b''])
     assert compute_fingerprint('POST', 'host', '/ab', 'c', [b'']) != first
 
 
-def test_pieces_of_a_body_do_not_matter() -> None:
-    """Guards against a repeat that is missed since it came in other pieces."""
+def test_chunk_boundaries_do_not_change_the_fingerprint() -> None:
+    """Guards against a repeat that is missed as it came in other chunks."""
     whole = compute_fingerprint(*REQUEST, [b'salt'])
     assert compute_fingerprint(*REQUEST, [b'sa', b'', b'lt']) == whole
     assert compute_fingerprint(*REQUEST, [b'sal']) != whole
 
 
-def test_long_bodies_are_told_apart_by_beginning_and_length() -> None:
-    """Guards against long bodies that are never known again."""
+def test_long_bodies_are_identified_by_prefix_and_length() -> None:
+    """Guards against repeats with long bodies that are never recognised."""
     begin = b'x' * BODY_BYTES
     long = compute_fingerprint(*REQUEST, [begin, b'1'], len(begin) + 1)
     cut = compute_fingerprint(*REQUEST, [begin[:9], begin[9:]], len(begin) + 1)
--- a/quetzalcourse/tests/coordination/forwarding/forwarding_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/forwarding_tests.py
@@ -1,4 +1,4 @@
-"""How often a request is sent, and what its caller is told."""
+"""Number of attempts of a forwarded request, and its refusal."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def build() -> tuple[Forwarder, ForwardedRequest]:
-    """Build a lookup before four upstreams."""
+    """Build an idempotent request to a service with four upstreams."""
     clock = FakeClock()
     pool = Pool('hall', clock, Counters())
     for number in range(UPSTREAMS):
@@ -46,8 +46,8 @@
     return Forwarder(pool, quarantine, clock), forwarding
 
 
-def test_upstreams_that_refuse_connections_use_up_no_attempt() -> None:
-    """Guards against a refusal while the last sound upstream is left."""
+def test_refused_connections_do_not_count_as_attempts() -> None:
+    """Guards against a refusal while a healthy upstream is left."""
     forwarder, forwarding = build()
     tried = set()
     for _ in range(UPSTREAMS):
@@ -60,7 +60,7 @@
         forwarder.choose(forwarding)
 
 
-def test_upstreams_that_run_a_request_use_up_its_attempts() -> None:
+def test_attempts_that_may_have_run_are_limited() -> None:
     """Guards against a request that runs on more upstreams than allowed."""
     forwarder, forwarding = build()
     for left in range(MAX_ATTEMPTS - 1, -1, -1):
@@ -69,8 +69,8 @@
         assert may_repeat is bool(left)
 
 
-def test_request_is_refused_once_all_upstreams_are_unreachable() -> None:
-    """Guards against a request that asks dead upstreams until its deadline."""
+def test_request_is_refused_when_all_upstreams_are_unreachable() -> None:
+    """Guards against a request that tries dead upstreams until its deadline."""
     forwarder, forwarding = build()
     forwarder.choose(forwarding)
     forwarding.may_have_run = True
--- a/quetzalcourse/tests/coordination/forwarding/pool_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/pool_tests.py
@@ -1,4 +1,4 @@
-"""Health and load of upstreams, as requests show them."""
+"""Load balancing and ejection in the pool, route lookup and registrations."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 from quetzalcourse.state.routing import RoutingManifest, Target
 from quetzalcourse.tests.clocks import FakeClock
 
-KEPT = timedelta(seconds=3)
+KEEPALIVE = timedelta(seconds=3)
 MEMBER = PoolMember('s-1', 'app', '10.0.0.1:80', 'hall-a', 6)
 
 
 @pytest.fixture
 def clock() -> FakeClock:
-    """Give a clock that stands."""
+    """Build a clock that tests move."""
     return FakeClock()
 
 
 @pytest.fixture
 def pool(clock: FakeClock) -> Pool:
-    """Give a pool of two upstreams."""
+    """Build a pool of two upstreams."""
     built = Pool('hall-a', clock, Counters())
     built.replace(MEMBER)
     built.replace(replace(MEMBER, name='s-2', address='10.0.0.2:80'))
     return built
 
 
-def test_failed_upstream_rests_longer_each_time(
+def test_ejection_doubles_with_each_failure(
     pool: Pool,
     clock: FakeClock,
 ) -> None:
-    # An upstream crashed. Each attempt there costs its caller a timeout, so
-    # it is tried again after half a second, one, two and four.
+    # Each attempt at a crashed upstream costs its caller a timeout, so it is
+    # tried again after half a second, one, two and four.
     failed = pool.find('s-1')
     assert failed is not None
     for seconds in (0.5, 1, 2, 4, 4):
@@ -59,9 +59,9 @@
     assert failed.consecutive_failures == 0
 
 
-def test_one_late_answer_is_no_failure(pool: Pool) -> None:
-    # A single long request ends at its time. The upstream is sound, and
-    # taking it out would crowd the others.
+def test_single_timeout_does_not_eject(pool: Pool) -> None:
+    # A single long request timed out at a healthy upstream. Ejecting it would
+    # overload the others.
     upstream = pool.find('s-1')
     assert upstream is not None
     pool.on_timeout(upstream)
@@ -70,9 +70,9 @@
     assert upstream.consecutive_failures == 1
 
 
-def test_all_resting_is_better_than_none(pool: Pool) -> None:
-    # Every upstream failed lately. Refusing all callers would be worse than
-    # an attempt at the one that has rested longest.
+def test_ejected_upstream_is_chosen_if_all_are_ejected(pool: Pool) -> None:
+    # Every upstream failed recently. Refusing all callers would be worse than
+    # an attempt at the one whose ejection ends first.
     for name in ('s-1', 's-2'):
         upstream = pool.find(name)
         assert upstream is not None
@@ -84,12 +84,12 @@
 @pytest.mark.parametrize(
     'changed', [{'address': '10.0.0.9:80'}, {'started': 7}]
 )
-def test_another_run_begins_without_a_past(
+def test_restarted_upstream_has_fresh_state(
     pool: Pool,
     changed: dict[str, Any],
 ) -> None:
-    # An upstream starts again under its name. What was known of its weights
-    # and its health was of another run.
+    # An upstream restarts under the same name. Its known weights and health
+    # belong to the previous run.
     known = pool.find('s-1')
     assert known is not None
     pool.on_version(known, 'verse', 9)
@@ -105,8 +105,8 @@
     return read_manifest(content).unwrap()
 
 
-def test_weights_of_targets_split_requests() -> None:
-    """The same request always goes to the same target."""
+def test_target_weights_split_requests() -> None:
+    """Requests are split by weight, and each id always gets one target."""
     route = replace(
         build_manifest().routes[0],
         targets=(Target('old', 90), Target('new', 10)),
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.parametrize('host', ['', 'other.example'])
-def test_host_decides(host: str) -> None:
-    """A path of another host leads nowhere."""
+def test_route_matches_only_its_host(host: str) -> None:
+    """A known path of another host is refused, as is any path at first."""
     table = RouteTable()
     with pytest.raises(RefusedError) as unready:
         table.match(documents.HOST, documents.LOOKUP_PREFIX)
@@ -130,8 +130,8 @@
 
 
 def test_older_or_equal_manifest_is_not_adopted() -> None:
-    # A store that lags behind itself shows an older version. Routes and
-    # keys that callers use would be gone again.
+    # A lagging store may return an older version. Applying it would remove
+    # routes and keys that callers use.
     table = RouteTable()
     assert table.adopt(build_manifest(5))
     assert not table.adopt(build_manifest(5))
@@ -150,9 +150,11 @@
         {'models': [{'name': 'a', 'version': 'new'}]},
     ],
 )
-def test_malformed_entry_names_no_upstream(changed: dict[str, object]) -> None:
-    # Something else writes entries. A daemon that used one would send
-    # requests to whatever stands there.
+def test_malformed_registration_is_rejected(
+    changed: dict[str, object],
+) -> None:
+    # Entries may be written by something other than an upstream. A daemon
+    # that used one would send requests to whatever is at that address.
     entry: dict[str, object] = {
         'service': 'app',
         'address': '10.0.0.1:80',
@@ -164,22 +166,23 @@
     assert read_member('s', json.dumps(entry | changed).encode()).is_err()
 
 
-def test_entry_that_changes_its_service_is_found_there_alone(
+def test_upstream_that_changes_service_is_listed_only_there(
     pool: Pool,
 ) -> None:
-    # An upstream's entry names another service. Requests for the former one
-    # must not go there, and its removal must not fail and stop the feed.
+    # A registration changes its service. Requests for the former service must
+    # not go there, and its removal must not fail and stop the feed.
     pool.replace(replace(MEMBER, service='other'))
-    assert [one.name for one in pool.list_service('app')] == ['s-2']
-    assert [one.name for one in pool.list_service('other')] == ['s-1']
+    assert [member.name for member in pool.list_service('app')] == ['s-2']
+    assert [member.name for member in pool.list_service('other')] == ['s-1']
     pool.remove('s-1')
     assert not pool.list_service('other')
 
 
-def test_attempt_after_silence_stays_on_this_side_of_a_cut() -> None:
-    # The own data centre is cut off from the others. A request met one of
-    # theirs, which is silent, and may be sent once more. Another one of
-    # theirs would be silent too, and the caller would get nothing at all.
+def test_retry_after_no_response_avoids_that_data_centre() -> None:
+    # A partition separates this daemon's data centre from another one. A
+    # request got no response from there and may be sent once more. A second
+    # upstream behind the partition would not respond either, and the caller
+    # would get nothing at all.
     built = Pool('hall-a', FakeClock(), Counters())
     built.replace(replace(MEMBER, name='far-1', data_centre='hall-b'))
     built.replace(replace(MEMBER, name='far-2', data_centre='hall-b'))
@@ -198,43 +201,45 @@
     assert built.choose('app', {'far-1'}, {'hall-b'}) is built.find('far-2')
 
 
-def test_rare_requests_share_a_connection(pool: Pool, clock: FakeClock) -> None:
-    # Hundreds of daemons have a request every second or two each. Each one
-    # that went to the least loaded upstream opened a connection there, since
-    # those to the others had been closed meanwhile.
+def test_infrequent_requests_reuse_a_connection(
+    pool: Pool, clock: FakeClock
+) -> None:
+    # Hundreds of daemons each have a request every second or two. Sent to the
+    # least loaded upstream, each request would open a connection there, since
+    # the connections to the others have been closed meanwhile.
     used = set()
     for _ in range(20):
         upstream = pool.choose('app')
         assert upstream is not None
         pool.on_start(upstream)
         pool.on_end(upstream)
-        pool.on_idle_connection(upstream, KEPT)
+        pool.on_idle_connection(upstream, KEEPALIVE)
         used.add(upstream.name)
         clock.move(timedelta(seconds=1.5))
     assert len(used) == 1
 
 
-def test_burst_goes_where_there_is_room(pool: Pool) -> None:
-    """A kept connection does not draw requests to an upstream in use."""
-    kept = pool.find('s-1')
-    assert kept is not None
-    pool.on_idle_connection(kept, KEPT)
+def test_burst_is_balanced_despite_open_connection(pool: Pool) -> None:
+    """An open connection must not attract requests to a loaded upstream."""
+    connected = pool.find('s-1')
+    assert connected is not None
+    pool.on_idle_connection(connected, KEEPALIVE)
     for _ in range(MEMBER.slots):
         upstream = pool.choose('app')
         assert upstream is not None
         pool.on_start(upstream)
-    assert kept.running == MEMBER.slots // 2
+    assert connected.running == MEMBER.slots // 2
 
 
-def test_closed_connection_draws_no_request(
+def test_closed_connection_is_not_preferred(
     pool: Pool,
     clock: FakeClock,
 ) -> None:
     """Once it is closed, the less loaded upstream comes first again."""
-    kept = pool.find('s-1')
-    assert kept is not None
-    pool.on_idle_connection(kept, KEPT)
-    pool.on_start(kept)
-    assert pool.choose('app') is kept
-    clock.move(KEPT)
+    connected = pool.find('s-1')
+    assert connected is not None
+    pool.on_idle_connection(connected, KEEPALIVE)
+    pool.on_start(connected)
+    assert pool.choose('app') is connected
+    clock.move(KEEPALIVE)
     assert pool.choose('app') is pool.find('s-2')
--- a/quetzalcourse/tests/coordination/forwarding/residency_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/residency_tests.py
@@ -1,4 +1,4 @@
-"""Routes and client accounts that are bound to regions."""
+"""Data residency of routes and client accounts."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     route: list[str] | None = None,
     account: list[str] | None = None,
 ) -> Residency:
-    """Bind the route of batches and a client account to regions."""
+    """Build a residency with a batch route and an account bound to regions."""
     config = documents.build_config()
     config['routes'][-1]['allowed_regions'] = route or []
     config['tenants'][0]['allowed_regions'] = account or []
@@ -54,17 +54,17 @@
         (['north'], ['south'], set()),
     ],
 )
-def test_both_bindings_hold(
+def test_route_and_account_regions_are_intersected(
     route: list[str],
     account: list[str],
     allowed: set[str] | None,
 ) -> None:
-    """Guards against an account's binding that a route's takes the place of."""
+    """Guards against a route's binding that overrides an account's."""
     residency = build_residency(route, account)
     assert residency.find_batch_regions(HEAD) == allowed
 
 
-def test_upstreams_elsewhere_get_nothing() -> None:
+def test_upstreams_outside_allowed_regions_get_nothing() -> None:
     """Guards against bodies that leave their regions for an idle upstream."""
     pool = Pool('hall-n', FakeClock(), Counters(), REGIONS)
     for data_centre in (*REGIONS, 'hall-unknown'):
@@ -84,13 +84,13 @@
 
 
 def test_batch_is_offered_and_taken_over_within_its_regions() -> None:
-    """Guards against items that move to a daemon elsewhere with their batch."""
+    """Guards against a batch that moves to a daemon outside its regions."""
     members = [NORTH, OTHER_NORTH, SOUTH]
     residency = build_residency(['north'])
     assert residency.may_store_items(HEAD, OTHER_NORTH)
     assert not residency.may_store_items(HEAD, SOUTH)
-    holders = residency.list_takeover_candidates(HEAD, members, 'hall-s')
-    assert holders == [NORTH, OTHER_NORTH]
+    candidates = residency.list_takeover_candidates(HEAD, members, 'hall-s')
+    assert candidates == [NORTH, OTHER_NORTH]
     assert residency.list_takeover_candidates(HEAD, [SOUTH], 'hall-n') == []
     assert residency.list_takeover_candidates(HEAD, [SOUTH], 'hall-s') == [
         SOUTH
@@ -99,8 +99,8 @@
     assert unbound.list_takeover_candidates(HEAD, members, 'hall-n') == members
 
 
-def test_store_is_reached_through_daemons_of_the_own_region() -> None:
-    """Guards against bodies that reach the store by way of another region."""
+def test_store_is_reached_through_daemons_of_the_same_region() -> None:
+    """Guards against bodies that reach the store through another region."""
     follower: Any = None
     helpers = StoreHelpers(follower, FakeClock())
     residency = build_residency(['north'])
