--- a/quetzalcourse/coordination/forwarding/forwarding.py
+++ b/quetzalcourse/coordination/forwarding/forwarding.py
@@ -47,7 +47,7 @@
     :param tried: ids of the upstreams that were chosen.
     :param unresponsive_data_centres: data centres of upstreams that could not
         be reached or did not respond.
-    :param unreachable: ids of upstreams that refused the connection.
+    :param unreachable: ids of upstreams that could not be connected to.
     """
 
     request_id: str
--- a/quetzalcourse/coordination/routing/__init__.py
+++ b/quetzalcourse/coordination/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstreams could run a request, best first."""
+"""Routing: health, load and cache state of upstreams, and their ranking."""
--- a/quetzalcourse/coordination/routing/drain_tracker.py
+++ b/quetzalcourse/coordination/routing/drain_tracker.py
@@ -1,4 +1,4 @@
-"""Upstreams that are about to go away."""
+"""Tracking of draining upstreams, which get no new work."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Vm
 
+# Work sent just before a maintenance window would be cut off by its start.
 MAINTENANCE_LEAD_TIME = timedelta(seconds=60)
 
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """An upstream that began to leave.
+    """An upstream that started to drain.
 
-    :param humans: whether human callers' streams have to move as well.
+    :param humans: whether streams of human callers have to migrate too.
     """
 
     upstream: str
@@ -30,59 +31,63 @@
 
 
 class DrainTracker:
-    """Knows the leaving upstreams from three sources.
+    """Collects the draining upstreams from three sources.
 
-    These are the upstream's own notice, the platform's list of VMs and the
-    maintenance windows of the manifest.
+    The sources are the upstream's own announcement, the platform's list of
+    VMs, and the maintenance windows of the manifest.
 
-    :param clock: its calendar time decides on maintenance windows.
+    :param clock: its calendar time is compared with maintenance windows.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without a leaving upstream."""
+        """Start without a draining upstream."""
         self._clock = clock
         self._manifest = Manifest()
-        self._noticed: set[str] = set()
-        self._listed: frozenset[str] = frozenset()
-        self._leaving: dict[str, bool] = {}
+        self._announced: set[str] = set()
+        self._listed_by_platform: frozenset[str] = frozenset()
+        self._draining: dict[str, bool] = {}
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the maintenance windows of a manifest."""
+        """Apply the upstreams and maintenance windows of a manifest."""
         self._manifest = manifest
-        self._noticed &= set(manifest.upstreams)
+        self._announced &= set(manifest.upstreams)
 
     def on_notice(self, name: str, *, leaving: bool) -> None:
-        """Learn what an upstream says of itself."""
+        """Record whether an upstream announces that it is draining."""
         if leaving:
-            self._noticed.add(name)
+            self._announced.add(name)
         else:
-            self._noticed.discard(name)
+            self._announced.discard(name)
 
     def on_vms(self, vms: Iterable[Vm]) -> None:
-        """Take the platform's list of VMs; ids are upstreams' names."""
+        """Apply the platform's list of VMs.
+
+        A VM matches an upstream by its id, which is the upstream's name, or by
+        its address.
+        """
         leaving = [vm for vm in vms if vm.leaving]
-        self._listed = frozenset(
+        self._listed_by_platform = frozenset(
             known for vm in leaving for known in (vm.vm, vm.address)
         )
 
     def is_draining(self, name: str) -> bool:
-        """Tell whether an upstream gets no new work."""
-        return name in self._leaving
+        """Return whether an upstream is draining and gets no new work."""
+        return name in self._draining
 
     def list_draining(self) -> list[str]:
-        """Name the leaving upstreams."""
-        return sorted(self._leaving)
+        """List the names of the draining upstreams."""
+        return sorted(self._draining)
 
     def check(self) -> list[DrainNotice]:
-        """Look at all sources again.
+        """Update the draining upstreams from all sources.
 
-        :returns: upstreams whose streams have to move since the last look.
+        :returns: upstreams whose streams have to migrate since the last check.
         """
-        before = self._leaving
-        self._leaving = self._collect()
+        before = self._draining
+        self._draining = self._collect()
         return [
             DrainNotice(name, humans)
-            for name, humans in self._leaving.items()
+            for name, humans in self._draining.items()
             if name not in before or humans != before[name]
         ]
 
@@ -90,16 +95,14 @@
         found = {
             name: False
             for name, upstream in self._manifest.upstreams.items()
-            if name in self._noticed
-            or name in self._listed
-            or upstream.address in self._listed
+            if name in self._announced
+            or name in self._listed_by_platform
+            or upstream.address in self._listed_by_platform
         }
         now = self._clock.now()
         return found | self._collect_windows(now)
 
     def _collect_windows(self, now: datetime) -> dict[str, bool]:
-        # Work that is sent just before a window would be cut by its start,
-        # so the upstream is left alone a little earlier.
         return {
             window.upstream: window.starts <= now
             for window in self._manifest.maintenance
--- a/quetzalcourse/coordination/routing/engine_poller.py
+++ b/quetzalcourse/coordination/routing/engine_poller.py
@@ -1,4 +1,4 @@
-"""Regular look at every upstream: reports, cache changes and departures."""
+"""Periodic polling of engines for reports, cache changes and drain notices."""
 
 from __future__ import annotations
 
@@ -14,31 +14,32 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from quetzalcourse.coordination.ports import EngineControl
     from quetzalcourse.coordination.routing.drain_tracker import (
         DrainNotice,
         DrainTracker,
     )
-    from quetzalcourse.coordination.ports import EngineControl
     from quetzalcourse.coordination.routing.prefixes import PrefixCacheHints
     from quetzalcourse.coordination.routing.reports import EngineReports
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
 
 POLL_INTERVAL = timedelta(seconds=1)
+# Engines of other data centres are polled in every second round.
 REMOTE_POLL_ROUNDS = 2
 MAX_MISSED_REPORTS = 3
 
 
 class EnginePoller:
-    """Asks the engines for their reports once a second.
+    """Polls the engines for their reports once a second.
 
-    Engines of other data centres are asked every other time, since they
-    only get what the own ones can't take. A leaving engine of either kind
-    has to be known within three seconds.
+    Engines of other data centres are polled every other time, since they only
+    get work that local engines can't take. A draining engine in any data
+    centre has to be detected within three seconds.
 
-    :param data_centre: where this daemon runs.
+    :param data_centre: data centre of this daemon.
     :param control: connections to the engines.
-    :param running: requests of this daemon on an upstream.
+    :param running: returns the requests of this daemon on an upstream.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         counters: Counters,
         running: Callable[[str], int],
     ) -> None:
-        """Begin without upstreams."""
+        """Start without upstreams."""
         self._data_centre = data_centre
         self._control = control
         self._drain_tracker = drain_tracker
@@ -62,33 +63,33 @@
         self._counters = counters
         self._running = running
         self._manifest = Manifest()
-        self._missed: dict[str, int] = {}
+        self._missed_reports: dict[str, int] = {}
         self._listeners: list[Callable[[DrainNotice], None]] = []
 
     def on_drain(self, listener: Callable[[DrainNotice], None]) -> None:
-        """Call a listener when an upstream begins to leave."""
+        """Register a listener for upstreams that start to drain."""
         self._listeners.append(listener)
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams and windows of a manifest."""
+        """Apply the upstreams and maintenance windows of a manifest."""
         self._manifest = manifest
         self._drain_tracker.on_manifest(manifest)
         self._check()
 
     async def run(self) -> None:
-        """Look at all upstreams until cancelled."""
+        """Poll the engines until cancelled."""
         began = self._clock.elapsed()
         rounds = 0
         while True:
             await self.poll_all(include_remote=rounds % REMOTE_POLL_ROUNDS == 0)
-            # An engine that hangs delays its round, which must not put off
-            # the rounds after it.
+            # An engine that hangs delays its own round, but must not delay
+            # the following rounds.
             now = self._clock.elapsed()
             rounds = max(rounds + 1, (now - began) // POLL_INTERVAL)
             await self._clock.sleep(began + POLL_INTERVAL * rounds - now)
 
     async def poll_all(self, *, include_remote: bool) -> None:
-        """Ask the engines once.
+        """Poll the engines once.
 
         :param include_remote: whether to poll engines of other data centres
             too.
@@ -109,7 +110,7 @@
             self._on_missed(name, answer.err_value)
             return
         report = answer.ok_value
-        self._missed[name] = 0
+        self._missed_reports[name] = 0
         self._reports.on_report(name, report, self._running(name))
         self._drain_tracker.on_notice(name, leaving=report.leaving)
         after = self._prefixes.find_last_sequence(name)
@@ -119,18 +120,18 @@
 
     def _on_missed(self, name: str, problem: OrderProblem) -> None:
         self._counters.add('reports_missed', upstream=name)
-        missed = self._missed.get(name, 0) + 1
-        self._missed[name] = missed
+        missed = self._missed_reports.get(name, 0) + 1
+        self._missed_reports[name] = missed
         if missed >= MAX_MISSED_REPORTS:
             self._reports.discard(name)
-        # Nobody listens there, so whoever listens next begins with an empty
-        # cache and counts its changes from one again.
+        # No process listens there, so the next one starts with an empty cache
+        # and numbers its changes from one again.
         if missed >= MAX_MISSED_REPORTS or problem is OrderProblem.not_sent:
             self._prefixes.on_restart(name)
 
     def _check(self) -> None:
-        for departure in self._drain_tracker.check():
+        for notice in self._drain_tracker.check():
             for listener in self._listeners:
-                listener(departure)
-        leaving = len(self._drain_tracker.list_draining())
-        self._counters.set('upstreams_leaving', leaving)
+                listener(notice)
+        draining = len(self._drain_tracker.list_draining())
+        self._counters.set('upstreams_leaving', draining)
--- a/quetzalcourse/coordination/routing/outlier_detection.py
+++ b/quetzalcourse/coordination/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Health of upstreams: who is taken out, and how one comes back."""
+"""Outlier detection: ejection of failing and slow upstreams, and recovery."""
 
 from __future__ import annotations
 
@@ -15,45 +15,54 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import Manifest, UpstreamKind
 
-MAX_FAILURES = 3
+MAX_CONSECUTIVE_FAILURES = 3
 BASE_EJECTION_TIME = timedelta(seconds=1)
 MAX_EJECTION_TIME = timedelta(seconds=30)
-MAX_DOUBLINGS = 5
+MAX_BACKOFF_DOUBLINGS = 5
+# Concurrent attempts during recovery at which an upstream is healthy again.
 MAX_RECOVERY_ATTEMPTS = 16
+# Share of the upstreams of a kind that failures after a connect and slow
+# responses may eject.
 MAX_EJECTED_SHARE = 0.5
-PROBE_SHARE = 0.1
+# Share of the ejected upstreams that are probed at once.
+MAX_PROBED_SHARE = 0.1
+# An engine is slow if it takes this many times the median of its peers, and
+# at least MIN_SLOW_SECONDS.
 SLOW_FACTOR = 4.0
-SLOW_SECONDS = 1.0
+MIN_SLOW_SECONDS = 1.0
 MIN_SAMPLES = 5
 MIN_PEERS = 3
-SMOOTHING = 0.3
+LATENCY_SMOOTHING = 0.3
 
 
 @dataclass(slots=True)
-class Condition:
-    """What is known of one upstream.
-
-    :param failures: failed attempts since the last good one.
-    :param ejections: how often it was taken out since it was last well.
-    :param retry_at: time since boot from which it may be tried again.
-    :param allowance: attempts at once while it comes back, 0 for any.
+class UpstreamState:
+    """Health of one upstream.
+
+    :param failures: failed attempts since the last successful one.
+    :param ejections: number of ejections since it was last healthy.
+    :param retry_at: time since boot from which it may be tried again,
+        ``None`` if it is healthy.
+    :param attempt_limit: concurrent attempts during recovery, 0 if unlimited.
+    :param in_flight: attempts that have not finished.
     :param seconds: smoothed time to the first token.
+    :param samples: number of samples of that time.
     """
 
     failures: int = 0
     ejections: int = 0
     retry_at: timedelta | None = None
-    allowance: int = 0
+    attempt_limit: int = 0
     in_flight: int = 0
     seconds: float = 0.0
     samples: int = 0
 
 
 class OutlierDetector:
-    """Takes failing and slow upstreams out and tries them again gently.
+    """Ejects failing and slow upstreams, and readmits them gradually.
 
-    :param clock: tells when an upstream may be tried again.
-    :param random: spreads the retries of many daemons over time.
+    :param clock: measures the ejection times.
+    :param random: jitter that spreads the probes of many daemons over time.
     """
 
     def __init__(
@@ -62,154 +71,153 @@
         counters: Counters,
         random: Random,
     ) -> None:
-        """Begin with every upstream well."""
+        """Start with every upstream healthy."""
         self._clock = clock
         self._counters = counters
         self._random = random
-        self._conditions: dict[str, Condition] = {}
+        self._states: dict[str, UpstreamState] = {}
         self._kinds: dict[str, UpstreamKind] = {}
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Forget the upstreams that are gone."""
+        """Drop the state of upstreams that a manifest no longer has."""
         self._kinds = {
             name: upstream.kind for name, upstream in manifest.upstreams.items()
         }
-        self._conditions = {
-            name: condition
-            for name, condition in self._conditions.items()
-            if name in self._kinds or condition.in_flight
+        self._states = {
+            name: state
+            for name, state in self._states.items()
+            if name in self._kinds or state.in_flight
         }
 
     def admits(self, name: str) -> bool:
-        """Tell whether an upstream may get one more attempt now."""
-        condition = self._conditions.get(name)
-        if condition is None or condition.retry_at is None:
+        """Return whether an upstream may get another attempt now."""
+        state = self._states.get(name)
+        if state is None or state.retry_at is None:
             return True
-        if condition.retry_at > self._clock.elapsed():
+        if state.retry_at > self._clock.elapsed():
             return False
-        if condition.in_flight >= condition.allowance:
+        if state.in_flight >= state.attempt_limit:
             return False
-        return condition.allowance > 1 or self._may_probe()
+        return state.attempt_limit > 1 or self._may_probe()
 
     def find_retry_delay(self, names: Iterable[str]) -> timedelta:
-        """Tell how long until the first of some upstreams may be tried."""
+        """Return the time until the first of some upstreams may be tried."""
         now = self._clock.elapsed()
         waits = [
-            condition.retry_at - now
-            for condition in map(self._conditions.get, names)
-            if condition is not None and condition.retry_at is not None
+            state.retry_at - now
+            for state in map(self._states.get, names)
+            if state is not None and state.retry_at is not None
         ]
         return max(min(waits, default=BASE_EJECTION_TIME), timedelta(0))
 
     def on_start(self, name: str) -> None:
-        """Count an attempt that begins."""
+        """Count an attempt that starts."""
         self._find(name).in_flight += 1
 
     def on_end(self, name: str) -> None:
-        """Count an attempt that ended, however it did."""
+        """Count an attempt that finished, with any outcome."""
         self._find(name).in_flight -= 1
 
     def on_success(self, name: str) -> None:
-        """Learn that an upstream did what it was asked."""
-        condition = self._find(name)
-        condition.failures = 0
-        self._restore(name, condition)
+        """Record a successful attempt."""
+        state = self._find(name)
+        state.failures = 0
+        self._restore(name, state)
 
     def on_failure(self, name: str, *, connected: bool) -> None:
-        """Learn that an attempt failed through the upstream's fault.
+        """Record an attempt that failed because of the upstream.
 
-        :param connected: whether there was a connection at all.
+        :param connected: whether a connection was established.
         """
-        condition = self._find(name)
-        condition.failures += 1
-        if condition.retry_at is not None:
-            if condition.retry_at <= self._clock.elapsed():
-                self._eject(name, condition)
+        state = self._find(name)
+        state.failures += 1
+        if state.retry_at is not None:
+            if state.retry_at <= self._clock.elapsed():
+                self._eject(name, state)
             return
-        # Failures after a connect may be the request's own fault and come
-        # with it to every upstream, so they never take out more than half.
-        if condition.failures >= MAX_FAILURES:
+        # Failures after a connect may be caused by the request itself, which
+        # would repeat them at every upstream. So they eject at most half of
+        # the upstreams.
+        if state.failures >= MAX_CONSECUTIVE_FAILURES:
             if not connected or self._may_eject(name):
-                self._eject(name, condition)
+                self._eject(name, state)
 
     def on_first_token(self, name: str, waited: timedelta) -> None:
-        """Learn how long an engine took to answer.
+        """Record an engine's time to the first token.
 
-        An engine that comes back is believed from its first token on, since
-        a whole answer can take minutes.
+        The first token counts as a success of a recovering engine, since a
+        whole response can take minutes.
 
         :param waited: time from the request to its first token.
         """
-        condition = self._find(name)
-        self._restore(name, condition)
+        state = self._find(name)
+        self._restore(name, state)
         seconds = waited.total_seconds()
-        if condition.samples:
-            change = seconds - condition.seconds
-            seconds = condition.seconds + SMOOTHING * change
-        condition.seconds = seconds
-        condition.samples += 1
-        if condition.retry_at is None and self._is_slow(name, condition):
+        if state.samples:
+            change = seconds - state.seconds
+            seconds = state.seconds + LATENCY_SMOOTHING * change
+        state.seconds = seconds
+        state.samples += 1
+        if state.retry_at is None and self._is_slow(name, state):
             if self._may_eject(name):
-                self._eject(name, condition)
+                self._eject(name, state)
 
     def list_ejected(self) -> list[str]:
-        """Name the upstreams that are out or coming back."""
+        """List the upstreams that are ejected or recovering."""
         return sorted(
             name
-            for name, condition in self._conditions.items()
-            if condition.retry_at is not None
+            for name, state in self._states.items()
+            if state.retry_at is not None
         )
 
-    def _find(self, name: str) -> Condition:
-        return self._conditions.setdefault(name, Condition())
+    def _find(self, name: str) -> UpstreamState:
+        return self._states.setdefault(name, UpstreamState())
 
-    def _restore(self, name: str, condition: Condition) -> None:
-        if condition.retry_at is None:
+    def _restore(self, name: str, state: UpstreamState) -> None:
+        if state.retry_at is None:
             return
-        condition.allowance *= 2
-        if condition.allowance >= MAX_RECOVERY_ATTEMPTS:
-            condition.retry_at = None
-            condition.allowance = 0
-            condition.ejections = 0
+        state.attempt_limit *= 2
+        if state.attempt_limit >= MAX_RECOVERY_ATTEMPTS:
+            state.retry_at = None
+            state.attempt_limit = 0
+            state.ejections = 0
             self._counters.add('upstreams_restored', upstream=name)
             self._counters.set('upstream_out', 0, upstream=name)
 
-    def _eject(self, name: str, condition: Condition) -> None:
-        doublings = min(condition.ejections, MAX_DOUBLINGS)
-        pause = min(BASE_EJECTION_TIME * 2**doublings, MAX_EJECTION_TIME)
-        spread = self._random.uniform(0.5, 1.0)
-        condition.retry_at = self._clock.elapsed() + pause * spread
-        condition.ejections += 1
-        condition.allowance = 1
-        condition.failures = 0
-        condition.samples = 0
+    def _eject(self, name: str, state: UpstreamState) -> None:
+        doublings = min(state.ejections, MAX_BACKOFF_DOUBLINGS)
+        ejection = min(BASE_EJECTION_TIME * 2**doublings, MAX_EJECTION_TIME)
+        jitter = self._random.uniform(0.5, 1.0)
+        state.retry_at = self._clock.elapsed() + ejection * jitter
+        state.ejections += 1
+        state.attempt_limit = 1
+        state.failures = 0
+        state.samples = 0
         self._counters.add('upstreams_ejected', upstream=name)
         self._counters.set('upstream_out', 1, upstream=name)
 
     def _may_probe(self) -> bool:
-        out = [
-            condition
-            for condition in self._conditions.values()
-            if condition.allowance == 1
+        ejected = [
+            state for state in self._states.values() if state.attempt_limit == 1
         ]
-        probing = sum(condition.in_flight > 0 for condition in out)
-        return probing < max(1, len(out) * PROBE_SHARE)
+        probing = sum(state.in_flight > 0 for state in ejected)
+        return probing < max(1, len(ejected) * MAX_PROBED_SHARE)
 
     def _may_eject(self, name: str) -> bool:
         kind = self._kinds.get(name)
-        alike = [one for one, other in self._kinds.items() if other is kind]
-        out = sum(one in alike for one in self.list_ejected())
-        return out + 1 <= len(alike) * MAX_EJECTED_SHARE
+        peers = [peer for peer, other in self._kinds.items() if other is kind]
+        ejected = sum(peer in peers for peer in self.list_ejected())
+        return ejected + 1 <= len(peers) * MAX_EJECTED_SHARE
 
-    def _is_slow(self, name: str, condition: Condition) -> bool:
-        if condition.samples < MIN_SAMPLES:
+    def _is_slow(self, name: str, state: UpstreamState) -> bool:
+        if state.samples < MIN_SAMPLES:
             return False
         others = [
             other.seconds
-            for peer, other in self._conditions.items()
+            for peer, other in self._states.items()
             if peer != name and other.samples >= MIN_SAMPLES
         ]
         if len(others) < MIN_PEERS:
             return False
-        limit = max(SLOW_SECONDS, SLOW_FACTOR * median(others))
-        return condition.seconds > limit
+        limit = max(MIN_SLOW_SECONDS, SLOW_FACTOR * median(others))
+        return state.seconds > limit
--- a/quetzalcourse/coordination/routing/prefixes.py
+++ b/quetzalcourse/coordination/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Hints on which engine holds which prompt prefix in its cache."""
+"""Hints about which prompt prefixes each engine has in its prefix cache."""
 
 from __future__ import annotations
 
@@ -12,60 +12,61 @@
 
     from quetzalcourse.state.engines import CacheChange
 
-PREFIX_LENGTH = 64
+PREFIX_CHARACTERS = 64
 MAX_PREFIXES = 256
 
 
 def hash_prefix(prompt: str) -> int:
-    """Name the prefix of a prompt, so that no prompt need be kept."""
-    return xxhash.xxh64_intdigest(prompt[:PREFIX_LENGTH].encode())
+    """Hash the prefix of a prompt, so that no prompt has to be stored."""
+    return xxhash.xxh64_intdigest(prompt[:PREFIX_CHARACTERS].encode())
 
 
 class RecentPrefixes:
-    """Prefixes of one engine, the least recently used forgotten first."""
+    """Bounded LRU set of prefix hashes of one engine."""
 
     def __init__(self) -> None:
-        """Begin empty."""
         self._prefixes: OrderedDict[int, None] = OrderedDict()
 
     def __contains__(self, prefix: int) -> bool:
-        """Tell whether a prefix is remembered."""
+        """Return whether a prefix is in the set."""
         return prefix in self._prefixes
 
     def add(self, prefix: int) -> None:
-        """Remember a prefix as the one used last."""
+        """Add a prefix as the most recently used one."""
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
     def remove(self, prefix: int) -> None:
-        """Forget a prefix."""
+        """Remove a prefix, if it is in the set."""
         self._prefixes.pop(prefix, None)
 
 
 class EnginePrefixes:
-    """What is believed of one engine's cache."""
+    """Presumed content of one engine's prefix cache.
+
+    :ivar sequence: number of the last change that was received.
+    """
 
     def __init__(self) -> None:
-        """Begin without a hint."""
         self.sequence = 0
-        self._placed = RecentPrefixes()
+        self._sent = RecentPrefixes()
         self._reported = RecentPrefixes()
 
     def holds(self, prefix: int) -> bool:
-        """Tell whether a prefix is probably in the cache."""
-        return prefix in self._placed or prefix in self._reported
+        """Return whether a prefix is probably in the cache."""
+        return prefix in self._sent or prefix in self._reported
 
     def on_sent(self, prefix: int) -> None:
-        """Learn that this daemon sent a prompt there."""
-        self._placed.add(prefix)
+        """Record that this daemon sent a prompt to the engine."""
+        self._sent.add(prefix)
 
     def on_change(self, change: CacheChange) -> None:
-        """Learn of one change that the engine told."""
-        # After a gap nobody knows which reported prefixes went out in the
-        # meantime. Trusting them would send prompts to cold engines, so
-        # only this daemon's own placements are kept.
+        """Apply one cache change that the engine reported."""
+        # After a gap it is unknown which reported prefixes were evicted in
+        # between. Trusting them would send prompts to engines with a cold
+        # cache, so only the prefixes that this daemon sent are kept.
         if change.sequence <= self.sequence:
             return
         if change.sequence != self.sequence + 1:
@@ -76,50 +77,52 @@
             self._reported.add(prefix)
         else:
             self._reported.remove(prefix)
-            self._placed.remove(prefix)
+            self._sent.remove(prefix)
 
 
 class PrefixCacheHints:
-    """What is believed of all engines' caches, late and with gaps."""
+    """Presumed content of all engines' caches.
+
+    Cache changes arrive late and with gaps, so these are hints only.
+    """
 
     def __init__(self) -> None:
-        """Begin without hints."""
         self._engines: dict[str, EnginePrefixes] = {}
 
     def keep_only(self, names: Iterable[str]) -> None:
-        """Forget the engines that are gone.
+        """Drop the hints about engines that no longer exist.
 
-        :param names: engines that the manifest has.
+        :param names: engines of the manifest.
         """
-        known = set(names)
+        remaining = set(names)
         self._engines = {
             name: prefixes
             for name, prefixes in self._engines.items()
-            if name in known
+            if name in remaining
         }
 
     def holds(self, name: str, prefix: int) -> bool:
-        """Tell whether an engine probably holds a prefix."""
+        """Return whether an engine probably holds a prefix."""
         prefixes = self._engines.get(name)
         return prefixes is not None and prefixes.holds(prefix)
 
     def find_last_sequence(self, name: str) -> int:
-        """Tell the sequence of the last change that was heard of."""
+        """Return the number of the last received change, 0 without one."""
         prefixes = self._engines.get(name)
         return prefixes.sequence if prefixes else 0
 
     def on_sent(self, name: str, prefix: int) -> None:
-        """Learn that this daemon sent a prompt to an engine."""
+        """Record that this daemon sent a prompt to an engine."""
         self._find(name).on_sent(prefix)
 
     def on_changes(self, name: str, changes: Iterable[CacheChange]) -> None:
-        """Learn of changes that an engine told, in any order."""
+        """Apply cache changes that an engine reported, in any order."""
         prefixes = self._find(name)
-        for change in sorted(changes, key=lambda one: one.sequence):
+        for change in sorted(changes, key=lambda change: change.sequence):
             prefixes.on_change(change)
 
     def on_restart(self, name: str) -> None:
-        """Forget an engine whose cache is lost."""
+        """Drop the hints about an engine whose cache is lost."""
         self._engines.pop(name, None)
 
     def _find(self, name: str) -> EnginePrefixes:
--- a/quetzalcourse/coordination/routing/reports.py
+++ b/quetzalcourse/coordination/routing/reports.py
@@ -1,4 +1,4 @@
-"""Engines' lagging reports, corrected by what this daemon itself sent."""
+"""Load reports of engines, corrected by this daemon's own requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnLoadReport:
-    """A report and what this daemon had running when it came.
+    """A report and this daemon's requests when it arrived.
 
     :param own: this daemon's requests on the engine at that time.
     """
@@ -25,45 +25,44 @@
     """The last report of each engine."""
 
     def __init__(self) -> None:
-        """Begin without reports."""
         self._reports: dict[str, OwnLoadReport] = {}
 
     def on_report(self, name: str, report: EngineReport, own: int) -> None:
-        """Take a report.
+        """Store a report.
 
         :param own: this daemon's requests on the engine at this time.
         """
         self._reports[name] = OwnLoadReport(report, own)
 
     def discard(self, name: str) -> None:
-        """Forget a report that became too old."""
+        """Discard the report of an engine after too many missed ones."""
         self._reports.pop(name, None)
 
     def find(self, name: str) -> EngineReport | None:
-        """Find the last report of an engine, if there is a recent one."""
-        timed = self._reports.get(name)
-        return timed.report if timed else None
+        """Find the last report of an engine, ``None`` without a recent one."""
+        snapshot = self._reports.get(name)
+        return snapshot.report if snapshot else None
 
     def estimate_running(self, name: str, own: int) -> int:
-        """Estimate the requests on an engine at this moment.
+        """Estimate the current number of requests on an engine.
 
-        The report says what all daemons had there a while ago. What this
-        daemon began or finished since is known better and replaces its
-        part of the report; otherwise all work of a second would go to the
-        engine that was idle in its last report.
+        The report counts the requests of all daemons some time ago. The
+        share of this daemon is replaced by its current requests; otherwise
+        all requests of a second would go to the engine that was idle in its
+        last report.
 
         :param own: this daemon's requests on the engine now.
         """
-        timed = self._reports.get(name)
-        if timed is None:
+        snapshot = self._reports.get(name)
+        if snapshot is None:
             return own
-        told = timed.report.running + timed.report.queued
-        return max(told - timed.own, 0) + own
+        reported = snapshot.report.running + snapshot.report.queued
+        return max(reported - snapshot.own, 0) + own
 
     def serves(self, name: str, request: GenerationRequest) -> bool:
-        """Tell whether an engine has the version and adapter asked for.
+        """Return whether an engine has the requested version and adapter.
 
-        An engine without a recent report may have them.
+        An engine without a recent report is assumed to have them.
         """
         report = self.find(name)
         if report is None:
--- a/quetzalcourse/coordination/routing/routing.py
+++ b/quetzalcourse/coordination/routing/routing.py
@@ -1,4 +1,4 @@
-"""Routing: which upstreams could run a request, best first."""
+"""Router that ranks the engines that can run a request."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
     from quetzalcourse.coordination.routing.drain_tracker import DrainTracker
 
+# Share of its slots above which an engine ranks behind its peers.
 HIGH_LOAD_SHARE = 0.75
 Rank = tuple[bool, bool, bool, int]
 
@@ -26,10 +27,10 @@
 class Router:
     """Chooses upstreams for requests.
 
-    :param data_centre: where this daemon runs.
-    :param drain_tracker: knows which upstreams get no new work.
-    :param reports: what engines said of themselves.
-    :param prefixes: what is believed of the engines' caches.
+    :param data_centre: data centre of this daemon.
+    :param drain_tracker: tracks the upstreams that get no new work.
+    :param reports: load reports of the engines.
+    :param prefixes: presumed content of the engines' prefix caches.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         reports: EngineReports | None = None,
         prefixes: PrefixCacheHints | None = None,
     ) -> None:
-        """Begin without upstreams."""
+        """Start without upstreams."""
         self._data_centre = data_centre
         self._drain_tracker = drain_tracker
         self._reports = reports or EngineReports()
@@ -47,23 +48,23 @@
         self._manifest = Manifest()
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams of a manifest that came into force."""
+        """Apply the upstreams of a new manifest."""
         self._manifest = manifest
         self._prefixes.keep_only(manifest.upstreams)
 
     def on_sent(self, name: str, request: GenerationRequest) -> None:
-        """Learn that a request was sent to an engine."""
+        """Record that a request was sent to an engine."""
         self._prefixes.on_sent(name, hash_prefix(request.prompt))
 
     def knows_model(self, model: str) -> bool:
-        """Tell whether any engine serves a model."""
+        """Return whether any upstream serves a model."""
         return any(
             model in upstream.models
             for upstream in self._manifest.upstreams.values()
         )
 
     def is_available(self, name: str) -> bool:
-        """Tell whether an upstream may get new work."""
+        """Return whether an upstream may get new work."""
         if name not in self._manifest.upstreams:
             return False
         return (
@@ -77,29 +78,28 @@
         running: Callable[[str], int],
         excluded: frozenset[str] = frozenset(),
     ) -> tuple[str, ...]:
-        """Name the engines that could run a request, best first.
+        """List the names of engines that can run a request, best first.
 
-        :param request: what to run.
-        :param running: requests that hold a slot of an upstream.
+        :param running: returns the requests that hold a slot of an upstream.
         :param excluded: upstreams that just failed this request.
         """
-        fitting = [
+        eligible = [
             upstream
             for upstream in self._manifest.upstreams.values()
-            if _fits(upstream, request)
+            if _can_run(upstream, request)
             and upstream.name not in excluded
             and self.is_available(upstream.name)
         ]
         # Reports lag, so an engine that seems to have another version is
-        # still asked when no other is left; it refuses before it runs.
+        # still tried if no other is left; it refuses before it runs anything.
         serving = [
             upstream
-            for upstream in fitting
+            for upstream in eligible
             if self._reports.serves(upstream.name, request)
         ]
         prefix = hash_prefix(request.prompt)
         ranked = sorted(
-            serving or fitting,
+            serving or eligible,
             key=lambda upstream: self._rank(upstream, prefix, running),
         )
         return tuple(upstream.name for upstream in ranked)
@@ -114,9 +114,9 @@
         busy = self._reports.estimate_running(name, running(name))
         full = busy >= upstream.slots
         warm = not full and self._prefixes.holds(name, prefix)
-        # Among engines with room the hash decides and not the load, so that
-        # daemons that place the same new prefix agree on an engine. Ranked
-        # by their lagging views of the load, they would each fill another
+        # Engines with free slots are ranked by hash, not by load, so that
+        # daemons that send the same new prefix agree on an engine. Ranked by
+        # their lagging views of the load, each daemon would fill a different
         # engine's cache with it.
         return (
             upstream.data_centre != self._data_centre,
@@ -126,7 +126,7 @@
         )
 
 
-def _fits(upstream: Upstream, request: GenerationRequest) -> bool:
+def _can_run(upstream: Upstream, request: GenerationRequest) -> bool:
     if upstream.kind is not UpstreamKind.engine:
         return False
     if upstream.cheap and request.traffic_class is TrafficClass.human:
--- a/quetzalcourse/tests/coordination/routing/upstream_view_tests.py
+++ b/quetzalcourse/tests/coordination/routing/routing_tests.py
@@ -1,4 +1,4 @@
-"""What is believed of upstreams, and who gets work because of it."""
+"""Ranking of engines by reports, cache hints, draining and ejection."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def make_manifest(*windows: MaintenanceWindow) -> Manifest:
-    """Make four engines, the last in another data centre."""
+    """Build four engines, the last one in another data centre."""
     upstreams = {
         name: Upstream(
             name,
@@ -70,10 +70,10 @@
 
 
 class View:
-    """A router, its sources and the observer that fills them."""
+    """A router, its sources and the poller that fills them."""
 
     def __init__(self, *windows: MaintenanceWindow) -> None:
-        """Build the parts around four engines."""
+        """Build the parts for four engines."""
         self.clock = FakeClock()
         self.reports = EngineReports()
         self.prefixes = PrefixCacheHints()
@@ -81,11 +81,11 @@
         self.running = dict.fromkeys(NAMES, 0)
         self.answers: dict[str, EngineReport] = dict.fromkeys(NAMES, REPORT)
         self.changes: dict[str, list[CacheChange]] = {}
-        self.departures: list[DrainNotice] = []
+        self.drain_notices: list[DrainNotice] = []
         self.slow = ''
         self.problem = OrderProblem.unanswered
         self.router = Router('hall', self.leaving, self.reports, self.prefixes)
-        self.observer = EnginePoller(
+        self.poller = EnginePoller(
             'hall',
             self,
             self.leaving,
@@ -95,19 +95,19 @@
             Counters(),
             self.running.__getitem__,
         )
-        self.observer.on_drain(self.departures.append)
+        self.poller.on_drain(self.drain_notices.append)
         self.adopt(make_manifest(*windows))
 
     def adopt(self, manifest: Manifest) -> None:
-        """Bring a manifest into force."""
+        """Apply a manifest to the router and the poller."""
         self.router.on_manifest(manifest)
-        self.observer.on_manifest(manifest)
+        self.poller.on_manifest(manifest)
 
     async def observe(
         self,
         upstream: Upstream,
     ) -> Result[EngineReport, OrderProblem]:
-        """Answer as the engine does."""
+        """Return the engine's report, or fail as the test set."""
         if upstream.name == self.slow:
             await self.clock.sleep(timedelta(seconds=REPORT_SECONDS))
             return Err(OrderProblem.unanswered)
@@ -119,7 +119,7 @@
         upstream: Upstream,
         order: EngineOrder,
     ) -> Result[EngineReport, OrderProblem]:
-        """Take no orders."""
+        """Fail: the poller sends no orders."""
         raise NotImplementedError
 
     async def list_changes(
@@ -127,7 +127,7 @@
         upstream: Upstream,
         after: int,
     ) -> Result[list[CacheChange], OrderProblem]:
-        """Tell the changes that a test set."""
+        """Return the changes that the test set."""
         return Ok(self.changes.get(upstream.name, []))
 
     def rank(self, **changes: object) -> tuple[str, ...]:
@@ -151,29 +151,29 @@
         ({}, {'model': 'prose'}, set()),
     ],
 )
-async def test_engine_has_what_is_asked_for(
+async def test_engines_with_requested_version_and_adapter_are_ranked(
     reported: dict[str, int],
     wanted: dict[str, object],
     expected: set[str],
 ) -> None:
-    # New weights reach the engines one by one. A sample of old weights that
-    # went to an engine with newer ones would be refused or made twice.
+    # New weights reach the engines one by one. A sample that needs the old
+    # weights would be refused or generated twice at an engine with newer ones.
     view = View()
     for name, version in reported.items():
         view.answers[name] = replace(REPORT, weight_version=version)
-    await view.observer.poll_all(include_remote=True)
+    await view.poller.poll_all(include_remote=True)
     assert set(view.rank(**wanted)) == expected
 
 
-async def test_own_work_corrects_the_report() -> None:
-    # Reports are a second old. All work of that second would go to the one
-    # engine that was idle in its last report.
+async def test_own_requests_correct_the_report() -> None:
+    # Reports are up to a second old. Uncorrected, all requests of that second
+    # would go to the engine that was idle in its last report.
     view = View()
     view.answers['a'] = replace(REPORT, running=2, queued=1)
-    await view.observer.poll_all(include_remote=True)
+    await view.poller.poll_all(include_remote=True)
     assert view.reports.estimate_running('a', 0) == 3
     view.running['a'] = 1
-    await view.observer.poll_all(include_remote=True)
+    await view.poller.poll_all(include_remote=True)
     assert view.reports.estimate_running('a', 1) == 3
     assert view.reports.estimate_running('a', 0) == 2
     for name in ('b', 'c'):
@@ -195,18 +195,18 @@
         ('b', [change(1, 'prompt', stored=False)], False),
     ],
 )
-async def test_cache_hints(
+async def test_cache_changes_update_prefix_hints(
     sent: str,
     changes: list[CacheChange],
     warm: bool,
 ) -> None:
-    # Cache events come late and with gaps. Believed after a gap, they would
-    # send prompts to engines that hold them no longer.
+    # Cache changes arrive late and with gaps. Reported prefixes that are
+    # trusted after a gap send prompts to engines that have evicted them.
     view = View()
     if sent:
         view.router.on_sent(sent, make_request())
     view.changes['b'] = changes
-    await view.observer.poll_all(include_remote=True)
+    await view.poller.poll_all(include_remote=True)
     assert view.prefixes.holds('b', hash_prefix('prompt')) is warm
     if warm:
         assert view.rank()[0] == 'b'
@@ -215,56 +215,56 @@
 
 
 @pytest.mark.parametrize(
-    ('problem', 'rounds', 'believed', 'warm'),
+    ('problem', 'rounds', 'has_report', 'warm'),
     [
         (OrderProblem.unanswered, 2, True, True),
         (OrderProblem.unanswered, 3, False, False),
         (OrderProblem.not_sent, 1, True, False),
     ],
 )
-async def test_silent_engine_is_not_believed(
+async def test_report_and_hints_of_unresponsive_engine_are_discarded(
     problem: OrderProblem,
     rounds: int,
-    believed: bool,
+    has_report: bool,
     warm: bool,
 ) -> None:
-    # An engine that answers no more may have been replaced by an empty one,
-    # and one that nobody listens for has lost its cache.
+    # An engine that no longer responds may have been replaced by an empty
+    # one, and an engine that refuses connections has lost its cache.
     view = View()
-    await view.observer.poll_all(include_remote=True)
+    await view.poller.poll_all(include_remote=True)
     view.router.on_sent('a', make_request())
     del view.answers['a']
     view.problem = problem
     for _ in range(rounds):
-        await view.observer.poll_all(include_remote=True)
-    assert (view.reports.find('a') is not None) is believed
+        await view.poller.poll_all(include_remote=True)
+    assert (view.reports.find('a') is not None) is has_report
     assert view.prefixes.holds('a', hash_prefix('prompt')) is warm
 
 
-async def test_leaving_engine_gets_no_work() -> None:
-    # An engine gives notice of a minute. What is sent to it afterwards is
-    # cut, and a reader's answer with it.
+async def test_draining_engine_gets_no_work() -> None:
+    # An engine announces one minute ahead that it will stop. Requests sent to
+    # it afterwards are cut off, and readers' responses with them.
     view = View()
     view.answers['a'] = replace(REPORT, leaving=True)
-    await view.observer.poll_all(include_remote=False)
+    await view.poller.poll_all(include_remote=False)
     assert 'a' not in view.rank()
-    assert view.departures == [DrainNotice('a', humans=False)]
+    assert view.drain_notices == [DrainNotice('a', humans=False)]
     view.answers['a'] = REPORT
-    await view.observer.poll_all(include_remote=False)
+    await view.poller.poll_all(include_remote=False)
     assert 'a' in view.rank()
 
 
 @pytest.mark.parametrize('name', ['a', 'd'])
 @pytest.mark.parametrize('phase', [0.2, 0.8, 1.2, 1.8, 2.2, 3.2, 4.2])
-async def test_notice_is_heard_within_three_seconds(
+async def test_drain_notice_is_detected_within_three_seconds(
     name: str,
     phase: float,
 ) -> None:
-    # Another engine hangs and answers no report before its time is up. The
-    # notice of the one that leaves must not wait for it too long.
+    # Another engine hangs until its report times out. This must not delay the
+    # drain notice of this engine too long.
     view = View()
     view.slow = 'b'
-    task = asyncio.create_task(view.observer.run())
+    task = asyncio.create_task(view.poller.run())
     await view.clock.advance(SECOND * (5 + phase))
     assert name in view.rank()
     view.answers[name] = replace(REPORT, leaving=True)
@@ -273,7 +273,7 @@
     task.cancel()
 
 
-async def test_listed_vm_gets_no_work() -> None:
+async def test_engine_on_draining_vm_gets_no_work() -> None:
     view = View()
     view.leaving.on_vms(
         [
@@ -282,12 +282,12 @@
             Vm('a', 'hall', '127.0.0.1:1'),
         ]
     )
-    await view.observer.poll_all(include_remote=False)
+    await view.poller.poll_all(include_remote=False)
     assert set(view.rank()) == {'a', 'd'}
 
 
 @pytest.mark.parametrize(
-    ('seconds', 'is_open', 'departures'),
+    ('seconds', 'is_available', 'drain_notices'),
     [
         (0, True, []),
         (62, False, [DrainNotice('a', humans=False)]),
@@ -299,93 +299,93 @@
         (183, True, []),
     ],
 )
-async def test_maintenance_window(
+async def test_maintenance_window_drains_upstream(
     seconds: int,
-    is_open: bool,
-    departures: list[DrainNotice],
+    is_available: bool,
+    drain_notices: list[DrainNotice],
 ) -> None:
-    # The landlord switches a cage off. Work that was sent there a moment
-    # before would be cut, so it goes elsewhere a minute ahead; at the start
-    # whatever is left moves.
-    probe = FakeClock().now()
-    window = MaintenanceWindow('a', probe + 120 * SECOND, probe + 180 * SECOND)
+    # Racks lose power at the start of the window. Requests sent just before
+    # would be cut off, so they go elsewhere from a minute ahead; at the start
+    # the remaining streams migrate.
+    start = FakeClock().now()
+    window = MaintenanceWindow('a', start + 120 * SECOND, start + 180 * SECOND)
     view = View(window)
     for _ in range(seconds):
         view.clock.move(SECOND)
-        await view.observer.poll_all(include_remote=False)
-    assert ('a' in view.rank()) is is_open
-    if departures:
-        assert view.departures == departures
+        await view.poller.poll_all(include_remote=False)
+    assert ('a' in view.rank()) is is_available
+    if drain_notices:
+        assert view.drain_notices == drain_notices
 
 
-class Ward:
-    """Health of the four engines, with a clock."""
+class OutlierBench:
+    """Outlier detection of the four engines, with a clock."""
 
     def __init__(self) -> None:
-        """Begin with all of them well."""
+        """Start with all engines healthy."""
         self.clock = FakeClock()
-        self.health = OutlierDetector(self.clock, Counters(), Random(7))
-        self.health.on_manifest(make_manifest())
+        self.detector = OutlierDetector(self.clock, Counters(), Random(7))
+        self.detector.on_manifest(make_manifest())
 
     def fail(self, name: str, times: int, *, connected: bool) -> None:
-        """Let attempts fail."""
+        """Record failed attempts."""
         for _ in range(times):
-            self.health.on_failure(name, connected=connected)
+            self.detector.on_failure(name, connected=connected)
 
     def list_admitted(self) -> list[str]:
-        """Name the engines that may get an attempt."""
-        return [name for name in NAMES if self.health.admits(name)]
+        """List the engines that may get another attempt."""
+        return [name for name in NAMES if self.detector.admits(name)]
 
 
-def test_dead_engines_come_back_one_by_one() -> None:
-    # A data centre is lost within seconds. Were all its engines tried again
-    # at once, every retry would meet a dead one and each caller would wait.
-    ward = Ward()
+def test_ejected_engines_are_probed_one_by_one() -> None:
+    # A data centre fails within seconds. If all its engines were retried at
+    # once, every retry would reach a dead engine and delay its caller.
+    bench = OutlierBench()
     for name in NAMES:
-        ward.fail(name, 3, connected=False)
-    assert ward.list_admitted() == []
-    assert timedelta(0) < ward.health.find_retry_delay(NAMES) <= SECOND
-    ward.clock.move(SECOND)
-    assert ward.list_admitted() == list(NAMES)
-    ward.health.on_start('a')
-    assert ward.list_admitted() == []
-    ward.health.on_end('a')
-    ward.health.on_success('a')
-    ward.health.on_start('a')
-    assert 'a' in ward.list_admitted()
-    ward.health.on_start('a')
-    assert 'a' not in ward.list_admitted()
+        bench.fail(name, 3, connected=False)
+    assert bench.list_admitted() == []
+    assert timedelta(0) < bench.detector.find_retry_delay(NAMES) <= SECOND
+    bench.clock.move(SECOND)
+    assert bench.list_admitted() == list(NAMES)
+    bench.detector.on_start('a')
+    assert bench.list_admitted() == []
+    bench.detector.on_end('a')
+    bench.detector.on_success('a')
+    bench.detector.on_start('a')
+    assert 'a' in bench.list_admitted()
+    bench.detector.on_start('a')
+    assert 'a' not in bench.list_admitted()
     for _ in range(3):
-        ward.health.on_success('a')
-    assert 'a' in ward.list_admitted()
-    assert 'a' not in ward.health.list_ejected()
+        bench.detector.on_success('a')
+    assert 'a' in bench.list_admitted()
+    assert 'a' not in bench.detector.list_ejected()
 
 
-def test_failed_probe_waits_longer() -> None:
-    ward = Ward()
-    ward.fail('a', 3, connected=False)
+def test_ejection_time_doubles_after_failed_probe() -> None:
+    bench = OutlierBench()
+    bench.fail('a', 3, connected=False)
     for seconds in (1, 2, 4, 8):
-        ward.clock.move(seconds * SECOND)
-        assert ward.health.admits('a')
-        ward.fail('a', 1, connected=False)
-        ward.clock.move(seconds * SECOND * 0.9)
-        assert not ward.health.admits('a')
+        bench.clock.move(seconds * SECOND)
+        assert bench.detector.admits('a')
+        bench.fail('a', 1, connected=False)
+        bench.clock.move(seconds * SECOND * 0.9)
+        assert not bench.detector.admits('a')
 
 
-def test_poisonous_request_takes_out_half_at_most() -> None:
-    # One request breaks every engine it comes to. Were all taken out, it
-    # would stop everyone else's requests as well.
-    ward = Ward()
+def test_failing_request_ejects_at_most_half_of_the_engines() -> None:
+    # One request fails at every engine that runs it. Ejecting all engines
+    # would stop all other requests too.
+    bench = OutlierBench()
     for name in NAMES:
-        ward.fail(name, 9, connected=True)
-    assert len(ward.list_admitted()) == 2
+        bench.fail(name, 9, connected=True)
+    assert len(bench.list_admitted()) == 2
 
 
-def test_slow_engine_is_taken_out() -> None:
-    # An engine answers, but ten times slower than its peers.
-    ward = Ward()
+def test_slow_engine_is_ejected() -> None:
+    # An engine responds, but ten times slower than its peers.
+    bench = OutlierBench()
     for _ in range(6):
         for name in NAMES:
             waited = 3 * SECOND if name == 'b' else 0.3 * SECOND
-            ward.health.on_first_token(name, waited)
-    assert ward.list_admitted() == ['a', 'c', 'd']
+            bench.detector.on_first_token(name, waited)
+    assert bench.list_admitted() == ['a', 'c', 'd']
