--- a/quetzalcourse/coordination/quarantine/__init__.py
+++ b/quetzalcourse/coordination/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the upstreams which run them."""
+"""Quarantine of requests that crash the upstreams which run them."""
--- a/quetzalcourse/coordination/quarantine/crash_events.py
+++ b/quetzalcourse/coordination/quarantine/crash_events.py
@@ -1,8 +1,8 @@
-"""Counts the events that ended upstreams under a request.
+"""Grouping of upstream crashes into events.
 
 When a partition resets connections or many upstreams are killed at once, a
-request that is retried meets one after another within milliseconds. Upstreams
-that run none of its attempts end at the same moment, so it is one event.
+retried request meets several of them within milliseconds. Upstreams that ran
+none of its attempts crash at the same time, so these crashes are one event.
 """
 
 from __future__ import annotations
@@ -16,53 +16,52 @@
 
     from quetzalcourse.state.quarantine import UpstreamCrash, UpstreamRun
 
-# Ends that follow each other faster may have one cause.
+# Crashes within this time of each other may have a common cause.
 EVENT_WINDOW = timedelta(milliseconds=300)
 MAX_RECENT = 1024
 
 
 class RecentCrashes:
-    """The last upstreams that ended, under whatever request."""
+    """The most recent upstream crashes, whatever request was running."""
 
     def __init__(self) -> None:
-        """Begin without an end."""
-        self._ends: OrderedDict[UpstreamRun, timedelta] = OrderedDict()
+        self._crashes: OrderedDict[UpstreamRun, timedelta] = OrderedDict()
 
     def add(self, run: UpstreamRun, at: timedelta) -> None:
-        """Learn that an upstream ended."""
-        self._ends.setdefault(run, at)
-        if len(self._ends) > MAX_RECENT:
-            self._ends.popitem(last=False)
+        """Record a crash, unless that run is recorded already."""
+        self._crashes.setdefault(run, at)
+        if len(self._crashes) > MAX_RECENT:
+            self._crashes.popitem(last=False)
 
     def remove(self, run: UpstreamRun) -> bool:
-        """Learn that an upstream has not ended.
+        """Remove the crash of a run that turns out to be alive.
 
-        :returns: whether it was taken for ended.
+        :returns: whether it was recorded as crashed.
         """
-        return self._ends.pop(run, None) is not None
+        return self._crashes.pop(run, None) is not None
 
-    def count_events(self, ends: Mapping[UpstreamRun, UpstreamCrash]) -> int:
-        """Count the events among the ends under one request.
+    def count_events(self, crashes: Mapping[UpstreamRun, UpstreamCrash]) -> int:
+        """Count the events among the crashes of one request.
 
-        Ends that only this request saw count one by one, however quickly they
-        follow each other.
+        Crashes that affected only this request count one by one, however
+        quickly they follow each other.
         """
         count = 0
-        for group in _group(sorted(end.at for end in ends.values())):
-            shared = self._is_shared(ends, group[0], group[-1])
+        for group in _group(sorted(crash.at for crash in crashes.values())):
+            shared = self._is_shared(crashes, group[0], group[-1])
             count += 1 if shared else len(group)
         return count
 
     def _is_shared(
         self,
-        ends: Mapping[UpstreamRun, UpstreamCrash],
+        crashes: Mapping[UpstreamRun, UpstreamCrash],
         first: timedelta,
         last: timedelta,
     ) -> bool:
         return any(
             first - EVENT_WINDOW <= at <= last + EVENT_WINDOW
-            for run, at in self._ends.items()
-            if run not in ends
+            for run, at in self._crashes.items()
+            if run not in crashes
         )
 
 
--- a/quetzalcourse/coordination/quarantine/crash_updates.py
+++ b/quetzalcourse/coordination/quarantine/crash_updates.py
@@ -1,11 +1,12 @@
-"""Tells the other daemons of upstreams that ended under a request.
+"""Messages between daemons about upstreams that crashed while running requests.
 
-A request comes again at any daemon, and each would lose three upstreams by it
-before it knew. Messages reach all of them within milliseconds, also while the
-store is away; a daemon that misses them reads quarantines from the store.
+A request may be retried at any daemon, and each daemon would lose three
+upstreams to it before it quarantined the request on its own. Messages reach
+all daemons within milliseconds, even during a store outage; a daemon that
+misses them reads quarantines from the store.
 
-A partition breaks the connections of hundreds of requests in one moment, so
-what is learned within a short time goes out together.
+A partition breaks the connections of hundreds of requests at once, so reports
+are collected for a short time and sent together.
 """
 
 from __future__ import annotations
@@ -25,16 +26,16 @@
     from quetzalcourse.state.members import Member
     from quetzalcourse.state.quarantine import UpstreamRun
 
-# Time for which reports are collected before they are sent.
+# How long reports are collected before they are sent.
 SEND_DELAY = timedelta(milliseconds=10)
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon learned of a request.
+    """Outcome of a request that a daemon observed.
 
-    :param run: run of an upstream that ended under it, ``None`` if an upstream
-        answered it.
-    :param address: where the upstream listened.
+    :param run: run of an upstream that crashed while running the request,
+        ``None`` if an upstream answered it.
+    :param address: address of that upstream.
     """
 
     fingerprint: str
@@ -43,13 +44,13 @@
 
 
 class CrashReportBatch(msgspec.Struct, frozen=True):
-    """Reports in the order in which they were made."""
+    """Crash reports in the order of their observation."""
 
     reports: list[CrashReport]
 
 
 class CrashUpdates:
-    """Sends ends and answers to the other daemons and takes theirs."""
+    """Exchanges crashes and answers of requests with the other daemons."""
 
     def __init__(
         self,
@@ -58,29 +59,29 @@
         peers: Peers,
         clock: Clock,
     ) -> None:
-        """Listen to this daemon and to the others."""
+        """Subscribe to this daemon's quarantine and to peer messages."""
         self._quarantine = quarantine
         self._members = members
         self._peers = peers
         self._clock = clock
         self._reports: list[CrashReport] = []
-        self._tasks = Tasks('end updates')
-        quarantine.on_local_crash(self.tell_end)
-        quarantine.on_local_answer(self.tell_answer)
+        self._tasks = Tasks('crash updates')
+        quarantine.on_local_crash(self.send_crash)
+        quarantine.on_local_answer(self.send_answer)
         peers.subscribe(Topic.upstream_ends, self.on_message)
 
-    def tell_end(
+    def send_crash(
         self, fingerprint: str, run: UpstreamRun, address: str
     ) -> None:
-        """Tell that an upstream ended under a request."""
-        self._tell(CrashReport(fingerprint, run, address))
+        """Report that an upstream crashed while running a request."""
+        self._queue(CrashReport(fingerprint, run, address))
 
-    def tell_answer(self, fingerprint: str) -> None:
-        """Tell that an upstream answered a request."""
-        self._tell(CrashReport(fingerprint))
+    def send_answer(self, fingerprint: str) -> None:
+        """Report that an upstream answered a request."""
+        self._queue(CrashReport(fingerprint))
 
     def on_message(self, _: Member, content: bytes) -> None:
-        """Take what another daemon learned."""
+        """Apply the reports of another daemon."""
         update = msgspec.msgpack.decode(content, type=CrashReportBatch)
         for report in update.reports:
             if report.run is None:
@@ -90,7 +91,7 @@
                     report.fingerprint, report.run, report.address
                 )
 
-    def _tell(self, report: CrashReport) -> None:
+    def _queue(self, report: CrashReport) -> None:
         self._reports.append(report)
         if len(self._reports) == 1:
             self._tasks.begin(self._send())
--- a/quetzalcourse/coordination/quarantine/isolation.py
+++ b/quetzalcourse/coordination/quarantine/isolation.py
@@ -1,8 +1,8 @@
-"""Keeps suspect requests apart, so that an end shows which one caused it.
+"""Isolation of suspect requests, so that a crash identifies its cause.
 
-When many upstreams end in a short time, dozens of innocent requests are held
-suspect together with the one that ends them. Run side by side they would be
-blamed for each other's ends; one at a time at each upstream they are not.
+When many upstreams crash in a short time, dozens of innocent requests become
+suspect together with the one that crashes them. Run concurrently they would be
+blamed for each other's crashes; run one at a time per upstream they are not.
 """
 
 from __future__ import annotations
@@ -15,15 +15,14 @@
 
 
 class Isolation:
-    """Suspect requests that run, and the upstreams that run them."""
+    """Running suspect requests and the upstreams that run them."""
 
     def __init__(self) -> None:
-        """Begin without a suspect."""
         self._running: Counter[str] = Counter()
         self._occupied: Counter[str] = Counter()
 
     def is_running(self, fingerprint: str) -> bool:
-        """Tell whether this daemon runs a suspect request already."""
+        """Return whether a suspect request already runs from this daemon."""
         return fingerprint in self._running
 
     def list_occupied(self) -> Collection[str]:
@@ -31,12 +30,12 @@
         return frozenset(self._occupied)
 
     def on_start(self, fingerprint: str, upstream: str) -> None:
-        """Learn that an upstream begins to run a suspect request."""
+        """Record that an upstream starts to run a suspect request."""
         self._running[fingerprint] += 1
         self._occupied[upstream] += 1
 
     def on_finish(self, fingerprint: str, upstream: str) -> None:
-        """Learn that an upstream runs a suspect request no more."""
+        """Record that an upstream no longer runs a suspect request."""
         _decrease(self._running, fingerprint)
         _decrease(self._occupied, upstream)
 
--- a/quetzalcourse/coordination/quarantine/quarantine.py
+++ b/quetzalcourse/coordination/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end upstreams from reaching any more of them."""
+"""Admission control that keeps requests from crashing further upstreams."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.quarantine import UpstreamRun
 
-    EndListener = Callable[[str, UpstreamRun, str], None]
+    CrashListener = Callable[[str, UpstreamRun, str], None]
     Listener = Callable[[str], None]
 
-# Retry-After of a request whose ends of upstreams are not confirmed yet.
-SUSPECT_BACKOFF = timedelta(milliseconds=500)
+# Retry-After while a suspect request runs or its crashes are unconfirmed.
+SUSPECT_RETRY_AFTER = timedelta(milliseconds=500)
 log = get_log('quarantine')
 
 
@@ -30,67 +30,71 @@
     """Decides which daemon runs the trial of a quarantined request."""
 
     async def claim(self, fingerprint: str) -> bool:
-        """Claim the next trial for this daemon."""
+        """Claim the next trial for this daemon, if no other one has it."""
 
     def schedule_claim(self, fingerprint: str) -> None:
-        """Claim it without waiting, for :meth:`Quarantine.allow_trial`."""
+        """Start a claim in the background.
+
+        Its success is passed to :meth:`Quarantine.allow_trial`.
+        """
 
 
 class NoTrials:
-    """Lets no quarantined request run."""
+    """Trials that are never granted, for a daemon without a store."""
 
     async def claim(self, _: str) -> bool:
-        """Claim no trial."""
+        """Return ``False``: no trial may run."""
         return False
 
     def schedule_claim(self, _: str) -> None:
-        """Claim no trial."""
+        """Do nothing: no trial may run."""
 
 
 class Quarantine:
-    """Decides whether and where requests may be run.
+    """Decides whether and where requests may run.
 
-    Used by whatever sends requests to upstreams: requests of callers, items
-    of batches and scoring calls.
+    Everything that sends work to upstreams consults it: callers' requests,
+    batch items and scoring calls.
     """
 
     def __init__(self, records: QuarantineRecords, counters: Counters) -> None:
-        """Begin without listeners."""
+        """Start without listeners and without trials."""
         self.records = records
         self.trials: Trials = NoTrials()
         self._counters = counters
         self._isolation = Isolation()
-        self._end_listeners: list[EndListener] = []
+        self._crash_listeners: list[CrashListener] = []
         self._answer_listeners: list[Listener] = []
         self._quarantine_listeners: list[Listener] = []
-        self._allowed: set[str] = set()
-        self._seen_here: set[str] = set()
+        self._allowed_trials: set[str] = set()
+        self._observed_locally: set[str] = set()
 
-    def on_local_crash(self, listener: EndListener) -> None:
-        """Call a listener with each end that this daemon sees itself."""
-        self._end_listeners.append(listener)
+    def on_local_crash(self, listener: CrashListener) -> None:
+        """Register a listener for crashes that this daemon observes."""
+        self._crash_listeners.append(listener)
 
     def on_local_answer(self, listener: Listener) -> None:
-        """Call a listener when a request with a record is answered here."""
+        """Register a listener for answers to recorded requests sent here."""
         self._answer_listeners.append(listener)
 
     def on_quarantine(self, listener: Listener) -> None:
-        """Call a listener with each request that is quarantined.
+        """Register a listener for requests that become quarantined.
 
-        Only those count under which this daemon saw an upstream end: one of a
-        few, where all learn of it at the same moment.
+        It is called only for requests whose crashes this daemon observed
+        itself: all daemons quarantine a request at the same moment, and only
+        these few of them should act on it.
         """
         self._quarantine_listeners.append(listener)
 
     def may_begin(self, fingerprint: str) -> bool:
-        """Tell whether a request may be sent to an upstream now."""
+        """Return whether a batch item or scoring call may be sent now."""
         state = self.records.find_state(fingerprint)
         if state is RequestState.sound:
             return True
         if state is RequestState.suspect:
             return not self._isolation.is_running(fingerprint)
-        if fingerprint in self._allowed:
-            self._allowed.discard(fingerprint)
+        if fingerprint in self._allowed_trials:
+            self._allowed_trials.discard(fingerprint)
             return True
         if state is RequestState.due:
             self.trials.schedule_claim(fingerprint)
@@ -99,9 +103,9 @@
     async def admit(
         self, fingerprint: str, *, may_have_run: bool = False
     ) -> None:
-        """Let a request of a caller go on to an upstream.
+        """Check that a caller's request may be sent to an upstream.
 
-        :param may_have_run: whether it was sent to an upstream before.
+        :param may_have_run: whether an upstream may have run it before.
         :raises RefusedError: if it must not be sent now.
         """
         state = self.records.find_state(fingerprint)
@@ -112,7 +116,9 @@
                 raise RefusedError(_refuse_suspect(may_have_run=may_have_run))
             return
         if state is RequestState.due and await self.trials.claim(fingerprint):
-            log.info('Request is on trial.', fingerprint=fingerprint)
+            log.info(
+                'Quarantined request is on trial.', fingerprint=fingerprint
+            )
             return
         if state is RequestState.held:
             raise RefusedError(_refuse_suspect(may_have_run=may_have_run))
@@ -127,16 +133,16 @@
         )
 
     def list_avoided(self, fingerprint: str) -> Collection[str]:
-        """List the upstreams where a request must not run for now."""
+        """List the upstreams where a request must not run now."""
         if self.records.find_state(fingerprint) is RequestState.sound:
             return ()
         return self._isolation.list_occupied()
 
     def on_start(self, fingerprint: str, upstream: str) -> bool:
-        """Learn that a request is sent to an upstream.
+        """Record that a request is sent to an upstream.
 
-        :returns: whether it runs apart from others, so that
-            :meth:`on_finish` has to follow.
+        :returns: whether it runs isolated and needs a call of
+            :meth:`on_finish` at its end.
         """
         if self.records.find_state(fingerprint) is RequestState.sound:
             return False
@@ -144,29 +150,33 @@
         return True
 
     def on_finish(self, fingerprint: str, upstream: str) -> None:
-        """Learn that an upstream runs a request no more."""
+        """Record that an upstream no longer runs an isolated request."""
         self._isolation.on_finish(fingerprint, upstream)
 
     def on_crash(
         self, fingerprint: str, run: UpstreamRun, address: str
     ) -> None:
-        """Learn that an upstream ended while it ran a request sent here.
+        """Record that an upstream crashed while running this daemon's request.
 
-        :param address: where the upstream listened.
+        :param address: address of the upstream.
         """
         self._counters.add('upstream_ends')
         if self.records.on_crash(fingerprint, run, address):
-            self._seen_here.add(fingerprint)
-            for listener in self._end_listeners:
+            self._observed_locally.add(fingerprint)
+            for listener in self._crash_listeners:
                 listener(fingerprint, run, address)
 
     def on_restart(self, run: UpstreamRun, address: str) -> None:
-        """Learn that a run of an upstream has begun at an address."""
+        """Record that a run of an upstream started at an address.
+
+        It confirms the crash of the previous run there, which may quarantine
+        requests.
+        """
         if not len(self.records):
             return
         for fingerprint in self.records.on_restart(run, address):
-            self._show(fingerprint)
-            if fingerprint in self._seen_here:
+            self._report(fingerprint)
+            if fingerprint in self._observed_locally:
                 for listener in self._quarantine_listeners:
                     listener(fingerprint)
 
@@ -177,18 +187,18 @@
         age: timedelta,
         trials: int,
     ) -> None:
-        """Take a quarantine that some daemon wrote down.
+        """Apply a quarantine that a daemon wrote to the store.
 
-        :param age: how long ago it began, or its last trial.
-        :param trials: trials that were begun.
+        :param age: time since it began or since its last trial.
+        :param trials: number of trials that were started.
         """
         known = self.records.is_quarantined(fingerprint)
         self.records.quarantine(fingerprint, age, trials)
         if not known:
-            self._show(fingerprint, upstreams)
+            self._report(fingerprint, upstreams)
 
     def on_answer(self, fingerprint: str, run: UpstreamRun) -> None:
-        """Learn that a run of an upstream answered a request sent here."""
+        """Record that an upstream answered this daemon's request."""
         if not len(self.records):
             return
         self.records.on_alive(run)
@@ -199,25 +209,27 @@
             listener(fingerprint)
 
     def lift(self, fingerprint: str, reason: str) -> None:
-        """Hold nothing against a request any more."""
+        """Drop the record of a request and end its quarantine, if any."""
         record = self.records.forget(fingerprint)
-        self._allowed.discard(fingerprint)
-        self._seen_here.discard(fingerprint)
+        self._allowed_trials.discard(fingerprint)
+        self._observed_locally.discard(fingerprint)
         self._set_gauge()
         if record is not None and record.quarantined_until is not None:
             log.info(
-                'Quarantine is lifted.', fingerprint=fingerprint, reason=reason
+                'Request quarantine lifted.',
+                fingerprint=fingerprint,
+                reason=reason,
             )
 
     def allow_trial(self, fingerprint: str) -> None:
-        """Let one request of a fingerprint run, though it is quarantined."""
-        self._allowed.add(fingerprint)
-        log.info('Request is on trial.', fingerprint=fingerprint)
+        """Allow one quarantined request of a fingerprint to run."""
+        self._allowed_trials.add(fingerprint)
+        log.info('Quarantined request is on trial.', fingerprint=fingerprint)
 
-    def _show(self, fingerprint: str, upstreams: Sequence[str] = ()) -> None:
+    def _report(self, fingerprint: str, upstreams: Sequence[str] = ()) -> None:
         self._set_gauge()
         log.warning(
-            'Request is quarantined.',
+            'Request quarantined.',
             fingerprint=fingerprint,
             upstreams=upstreams or self.records.list_upstreams(fingerprint),
         )
@@ -228,7 +240,7 @@
 
 
 def _refuse_suspect(*, may_have_run: bool) -> Refusal:
-    """Refuse a repeat while its last attempt is still being judged."""
+    """Refuse a repeat while the outcome of another attempt is unknown."""
     code = RefusalCode.overloaded
     if may_have_run:
         code = RefusalCode.outcome_unknown
@@ -236,6 +248,6 @@
         code,
         'Another attempt of this request is being watched.',
         not_run=not may_have_run,
-        retry_after=SUSPECT_BACKOFF,
+        retry_after=SUSPECT_RETRY_AFTER,
         step='quarantine',
     )
--- a/quetzalcourse/coordination/quarantine/quarantine_store.py
+++ b/quetzalcourse/coordination/quarantine/quarantine_store.py
@@ -1,8 +1,8 @@
-"""Keeps quarantines in the platform's store.
+"""Persistence of quarantines in the platform's store.
 
-A row outlives restarts of all daemons, reaches those that missed the messages
-between daemons, and lets operators see and lift a quarantine. Its conditional
-write decides which daemon runs a trial.
+A row survives restarts of all daemons, reaches daemons that missed the
+messages between daemons, and lets operators see and lift a quarantine. Its
+conditional write decides which daemon runs a trial.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 TABLE = 'quarantine'
 PREFIX = f'{TABLE}//'
 RETRY_DELAY = timedelta(milliseconds=500)
-# A row that is missing after that time is written by any daemon.
+# A row that is missing after this time is written by any daemon.
 SYNC_INTERVAL = timedelta(seconds=5)
-# Changes of the table are rare, and daemons tell each other beforehand.
+# May be long: the table rarely changes, and daemons also message each other.
 FEED_POLL_TIMEOUT = timedelta(seconds=2)
-# Time for which a row that is lifted may still appear.
+# How long the row of a lifted quarantine may still appear in the feed.
 LIFTED_TTL = timedelta(seconds=5)
 MILLISECOND = timedelta(milliseconds=1)
 log = get_log('quarantine')
 
 
 class QuarantineRow(msgspec.Struct, frozen=True):
-    """A quarantined request.
+    """Row of a quarantined request.
 
-    :param upstreams: names of upstreams that ended under it.
-    :param since_ms: the store's clock when it was quarantined, or when its
-        last trial began.
-    :param trials: trials that were begun.
+    :param upstreams: names of the upstreams that crashed while running it.
+    :param since_ms: store time in milliseconds at which it was quarantined or
+        its last trial began.
+    :param trials: number of trials that were started.
     """
 
     upstreams: list[str]
@@ -55,7 +55,7 @@
 
 
 class QuarantineStore:
-    """Writes the quarantines of this daemon, and takes those of all."""
+    """Synchronises this daemon's quarantines with the store's rows."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         store_clock: StoreClock,
         clock: Clock,
     ) -> None:
-        """Follow the table and this daemon's quarantine."""
+        """Subscribe to the table and to this daemon's quarantine."""
         self._quarantine = quarantine
         self._records = quarantine.records
         self._table = table
@@ -82,7 +82,7 @@
         quarantine.trials = self
 
     def on_rows(self, rows: list[Row]) -> None:
-        """Take rows that changed."""
+        """Apply changed rows."""
         for row in rows:
             fingerprint = row.key.removeprefix(PREFIX)
             if row.removed:
@@ -94,11 +94,11 @@
                 self._adopt(fingerprint, row)
 
     async def run(self) -> None:
-        """Bring the store in line with this daemon's quarantine."""
+        """Write and remove rows until they match this daemon's quarantine."""
         while True:
             await wait_event(self._wake, SYNC_INTERVAL)
             self._wake.clear()
-            while self._is_behind():
+            while self._is_out_of_sync():
                 await self._write_missing()
                 await self._remove_lifted()
                 await self._clock.sleep(RETRY_DELAY)
@@ -108,28 +108,29 @@
         self._wake.set()
 
     def _on_answer(self, fingerprint: str) -> None:
-        # Its row may be on its way to the store.
+        # A write of its row may still be in flight.
         self._lifted[fingerprint] = self._clock.elapsed()
         self._wake.set()
 
     def schedule_claim(self, fingerprint: str) -> None:
-        """Claim the trial of a request without waiting."""
+        """Start a claim of the next trial of a request in the background."""
         if fingerprint not in self._claims:
             self._claims.add(fingerprint)
             self._tasks.begin(self._claim_later(fingerprint))
 
     async def claim(self, fingerprint: str) -> bool:
-        """Begin the quarantine of a request anew, unless another daemon does.
+        """Restart the quarantine of a request, unless another daemon has.
 
-        :returns: whether this daemon runs the trial, whose answer lifts it.
+        :returns: whether this daemon runs the trial; its answer lifts the
+            quarantine.
         """
         row = self._follower.rows.get(f'{PREFIX}{fingerprint}')
-        known = None if row is None else read_row(row)
+        current = None if row is None else read_row(row)
         now = self._store_clock.estimate()
-        if row is None or known is None or now is None:
+        if row is None or current is None or now is None:
             return False
         renewed = QuarantineRow(
-            known.upstreams, now // MILLISECOND, known.trials + 1
+            current.upstreams, now // MILLISECOND, current.trials + 1
         )
         if not await self._write(row.key, renewed, row.version):
             return False
@@ -144,16 +145,18 @@
             self._claims.discard(fingerprint)
 
     def _adopt(self, fingerprint: str, row: Row) -> None:
-        known = read_row(row)
-        if known is None:
-            log.warning('Row of a quarantine is malformed.', key=row.key)
+        stored = read_row(row)
+        if stored is None:
+            log.warning('Quarantine row is malformed.', key=row.key)
             return
-        age = self._find_age(known)
+        age = self._find_age(stored)
         if age > QUARANTINE_RETENTION:
             self._lifted[fingerprint] = self._clock.elapsed()
             self._wake.set()
             return
-        self._quarantine.adopt(fingerprint, known.upstreams, age, known.trials)
+        self._quarantine.adopt(
+            fingerprint, stored.upstreams, age, stored.trials
+        )
 
     def _find_age(self, row: QuarantineRow) -> timedelta:
         now = self._store_clock.estimate()
@@ -161,7 +164,7 @@
             return timedelta(0)
         return max(now - row.since_ms * MILLISECOND, timedelta(0))
 
-    def _is_behind(self) -> bool:
+    def _is_out_of_sync(self) -> bool:
         return bool(self._lifted) or bool(self._list_missing())
 
     def _list_missing(self) -> list[str]:
@@ -206,7 +209,7 @@
 
 
 def read_row(row: Row) -> QuarantineRow | None:
-    """Read a row, ``None`` if it is malformed."""
+    """Decode a row, ``None`` if it is malformed."""
     try:
         return msgspec.json.decode(row.content, type=QuarantineRow)
     except msgspec.DecodeError:
--- a/quetzalcourse/coordination/quarantine/records.py
+++ b/quetzalcourse/coordination/quarantine/records.py
@@ -1,14 +1,15 @@
-"""Decides from the ends of upstreams which requests are quarantined.
+"""Records of upstream crashes, which decide what requests are quarantined.
 
-An upstream that ends takes all its requests along, and each of them may be the
-one that ended it. A request that ends whatever runs it never gets an answer, so
-ends count only until the next answer, and each run of an upstream counts once.
+A crash of an upstream fails all requests that it runs, and each of them may be
+the cause. A request that crashes whatever runs it never gets an answer, so
+crashes count only until the next answer, and each run of an upstream counts
+once.
 
-Of the requests that ran on the same ended upstreams, the one under which more
-ended is the cause; while none is ahead, they wait for one end more.
+Of the requests that ran on the same crashed upstreams, the one with the most
+crashes is the cause; while there is a tie, another crash has to decide.
 
-A partition that resets connections looks like the end of all upstreams behind
-it, until another run takes the place of those that did end.
+A partition that resets connections looks like a crash of all upstreams behind
+it, so a crash is confirmed only when a new run takes the upstream's place.
 """
 
 from __future__ import annotations
@@ -29,34 +30,34 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.quarantine import UpstreamRun
 
-# Upstreams that may end under a request before it is quarantined.
+# Crashes after which a request is quarantined.
 MAX_CRASHES = 3
-# Ends after which a request runs apart from other suspects.
+# Crashes after which a request is isolated from other suspects.
 SUSPECT_CRASHES = 2
-# Time in which another run takes the place of an upstream that ended.
+# Time in which a new run takes the place of a crashed upstream.
 UNCONFIRMED_TTL = timedelta(seconds=15)
-# Age at which ends without an answer in between are forgotten.
+# Age at which crashes without an answer in between are discarded.
 RECORD_TTL = timedelta(minutes=10)
 # Quarantine before the first trial, doubled with each trial.
 BASE_QUARANTINE_TIME = timedelta(minutes=10)
-# A request that has failed as many trials waits for an operator, or until
-# its record is forgotten.
+# After this many failed trials a request waits for an operator, or until its
+# record is discarded.
 MAX_TRIALS = 3
 QUARANTINE_RETENTION = timedelta(days=1)
-# Requests that are remembered; the oldest that are not quarantined go first.
+# The oldest records that are not quarantined are evicted first.
 MAX_RECORDS = 4096
-# Names and addresses of ended upstreams where another run may begin.
+# Names and addresses of crashed upstreams where a new run may start.
 MAX_UNCONFIRMED_KEYS = 4096
 
 
 class QuarantineRecords:
-    """Requests under which upstreams have ended, by their fingerprints."""
+    """Crash records of requests by their fingerprints."""
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without a record."""
+        """Start without a record."""
         self._clock = clock
         self._records: dict[str, RequestRecord] = {}
-        self._recent = RecentCrashes()
+        self._recent_crashes = RecentCrashes()
         self._unconfirmed: dict[str, set[str]] = {}
 
     def __len__(self) -> int:
@@ -64,7 +65,7 @@
         return len(self._records)
 
     def find(self, fingerprint: str) -> RequestRecord | None:
-        """Find the record of a request, ``None`` if it has none."""
+        """Find the record of a request, ``None`` if it has none in force."""
         record = self._records.get(fingerprint)
         if record is None:
             return None
@@ -76,7 +77,7 @@
         return None
 
     def find_state(self, fingerprint: str) -> RequestState:
-        """Tell how a request may be run."""
+        """Return the state of a request, which decides how it may run."""
         record = self.find(fingerprint)
         if record is None:
             return RequestState.sound
@@ -85,8 +86,10 @@
             if due and record.trials < MAX_TRIALS:
                 return RequestState.due
             return RequestState.quarantined
-        count = self._recent.count_events(record.crashes)
-        unconfirmed = not all(end.confirmed for end in record.crashes.values())
+        count = self._recent_crashes.count_events(record.crashes)
+        unconfirmed = not all(
+            crash.confirmed for crash in record.crashes.values()
+        )
         if count >= MAX_CRASHES and unconfirmed:
             return RequestState.held
         if count >= SUSPECT_CRASHES:
@@ -94,15 +97,15 @@
         return RequestState.sound
 
     def find_time_left(self, fingerprint: str) -> timedelta:
-        """Tell how long a request stays quarantined, at least a second."""
+        """Return how long a request stays quarantined, at least one second."""
         record = self.find(fingerprint)
         until = record.quarantined_until if record else None
-        shortest = timedelta(seconds=1)
+        minimum = timedelta(seconds=1)
         if record is None or until is None:
-            return shortest
+            return minimum
         if record.trials >= MAX_TRIALS:
             until = record.changed_at + QUARANTINE_RETENTION
-        return max(until - self._clock.elapsed(), shortest)
+        return max(until - self._clock.elapsed(), minimum)
 
     def list_quarantined(self) -> list[str]:
         """List the fingerprints of quarantined requests."""
@@ -113,53 +116,53 @@
         ]
 
     def list_upstreams(self, fingerprint: str) -> list[str]:
-        """Name the upstreams that ended under a request."""
+        """List the names of the upstreams that crashed under a request."""
         record = self.find(fingerprint)
         return sorted(name for name, _ in record.crashes) if record else []
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Tell whether a request is quarantined, on trial or not."""
+        """Return whether a request is quarantined, even if a trial is due."""
         record = self.find(fingerprint)
         return record is not None and record.quarantined_until is not None
 
     def on_crash(
         self, fingerprint: str, run: UpstreamRun, address: str
     ) -> bool:
-        """Learn that an upstream seems to have ended under a request.
+        """Record the presumed crash of an upstream that ran a request.
 
-        :returns: whether that is new.
+        :returns: whether it was not recorded before.
         """
         record = self.find(fingerprint) or self._add(fingerprint)
         if run in record.crashes:
             return False
         now = self._clock.elapsed()
         record.crashes[run] = UpstreamCrash(now, address)
-        for place in (address, run[0]):
-            self._unconfirmed.setdefault(place, set()).add(fingerprint)
+        for key in (address, run[0]):
+            self._unconfirmed.setdefault(key, set()).add(fingerprint)
         if len(self._unconfirmed) > MAX_UNCONFIRMED_KEYS:
             self._unconfirmed.pop(next(iter(self._unconfirmed)))
-        self._recent.add(run, now)
+        self._recent_crashes.add(run, now)
         if record.quarantined_until is None:
             record.changed_at = now
         return True
 
     def on_restart(self, run: UpstreamRun, address: str) -> list[str]:
-        """Learn that a run of an upstream begins at an address.
+        """Record that a run of an upstream started at an address.
 
-        :returns: requests that are quarantined by what that confirms.
+        :returns: requests that are quarantined by crashes that this confirms.
         """
-        found: set[str] = set()
-        for place in (address, run[0]):
-            found |= self._unconfirmed.pop(place, set())
+        affected: set[str] = set()
+        for key in (address, run[0]):
+            affected |= self._unconfirmed.pop(key, set())
         return [
             fingerprint
-            for fingerprint in sorted(found & self._records.keys())
+            for fingerprint in sorted(affected & self._records.keys())
             if self._confirm(fingerprint, run, address)
         ]
 
     def on_alive(self, run: UpstreamRun) -> None:
-        """Learn that a run of an upstream answers, which had not ended."""
-        if not self._recent.remove(run):
+        """Drop the crash of a run that turns out to be alive."""
+        if not self._recent_crashes.remove(run):
             return
         for record in self._records.values():
             record.crashes.pop(run, None)
@@ -167,10 +170,10 @@
     def quarantine(
         self, fingerprint: str, age: timedelta, trials: int = 0
     ) -> None:
-        """Quarantine a request, also one that another daemon judged.
+        """Quarantine a request, by this daemon's or another one's decision.
 
-        :param age: how long ago its quarantine or its last trial began.
-        :param trials: trials that were begun.
+        :param age: time since its quarantine or its last trial began.
+        :param trials: number of trials that were started.
         """
         record = self._records.get(fingerprint) or self._add(fingerprint)
         record.changed_at = self._clock.elapsed() - age
@@ -178,51 +181,53 @@
         record.trials = trials
 
     def forget(self, fingerprint: str) -> RequestRecord | None:
-        """Hold nothing against a request any more."""
+        """Remove the record of a request and return it, if there is one."""
         return self._records.pop(fingerprint, None)
 
     def _confirm(
         self, fingerprint: str, run: UpstreamRun, address: str
     ) -> bool:
         record = self._records[fingerprint]
-        ended = [
-            end
-            for known, end in record.crashes.items()
-            if known != run and (end.address == address or known[0] == run[0])
+        replaced = [
+            crash
+            for known, crash in record.crashes.items()
+            if known != run and (crash.address == address or known[0] == run[0])
         ]
         if run in record.crashes:
             # The same run registers again, as after a partition.
             self._unconfirmed.setdefault(address, set()).add(fingerprint)
-        for end in ended:
-            end.confirmed = True
-        if not ended or not self._is_cause(record):
+        for crash in replaced:
+            crash.confirmed = True
+        if not replaced or not self._is_cause(record):
             return False
         self.quarantine(fingerprint, timedelta(0))
         return True
 
     def _is_cause(self, record: RequestRecord) -> bool:
-        """Tell whether a request has ended the upstreams that ran it."""
+        """Return whether a request has crashed the upstreams that ran it."""
         if record.quarantined_until is not None:
             return False
         confirmed = {
-            run: end for run, end in record.crashes.items() if end.confirmed
+            run: crash
+            for run, crash in record.crashes.items()
+            if crash.confirmed
         }
-        count = self._recent.count_events(confirmed)
+        count = self._recent_crashes.count_events(confirmed)
         if count < MAX_CRASHES:
             return False
-        rivals = self._list_rivals(record, confirmed)
-        if any(len(rival.crashes) > len(record.crashes) for rival in rivals):
+        others = self._list_other_suspects(record, confirmed)
+        if any(len(other.crashes) > len(record.crashes) for other in others):
             return False
-        return count > MAX_CRASHES or not rivals
+        return count > MAX_CRASHES or not others
 
-    def _list_rivals(
+    def _list_other_suspects(
         self,
         record: RequestRecord,
         confirmed: Mapping[UpstreamRun, UpstreamCrash],
     ) -> list[RequestRecord]:
-        """List other requests that ran on all upstreams that ended under one.
+        """List other requests that ran on all crashed upstreams of a record.
 
-        The request that ended them is among them, if it is not the one itself.
+        The request that crashed them is one of these or the record's own.
         """
         return [
             other
@@ -234,8 +239,8 @@
         oldest = self._clock.elapsed() - UNCONFIRMED_TTL
         outdated = [
             run
-            for run, end in record.crashes.items()
-            if not end.confirmed and end.at < oldest
+            for run, crash in record.crashes.items()
+            if not crash.confirmed and crash.at < oldest
         ]
         if record.quarantined_until is None:
             for run in outdated:
@@ -266,5 +271,5 @@
 
 
 def find_duration(trials: int) -> timedelta:
-    """Tell how long a quarantine lasts before its next trial."""
+    """Return how long a quarantine lasts before its next trial."""
     return BASE_QUARANTINE_TIME * 2**trials
--- a/quetzalcourse/tests/coordination/quarantine/quarantine_decisions_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/quarantine_decisions_tests.py
@@ -1,4 +1,4 @@
-"""Whether and where requests run that upstreams ended under."""
+"""Admission and placement of requests that may crash upstreams."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 UPSTREAMS = 12
 REQUESTS = 96
-# Requests that an upstream bears at once in the cascade.
+# Concurrent requests above which an upstream crashes in the cascade.
 CAPACITY = 6
 ROUNDS = 60
 
 
 def build() -> Quarantine:
-    """Build a quarantine that knows nothing."""
+    """Build a quarantine without records."""
     return Quarantine(QuarantineRecords(FakeClock()), Counters())
 
 
-def end(quarantine: Quarantine, count: int, name: str = 'f') -> None:
-    """Let as many upstreams end under a request."""
+def crash(quarantine: Quarantine, count: int, name: str = 'f') -> None:
+    """Crash and restart a number of upstreams under a request."""
     for number in range(count):
         quarantine.on_crash(name, (f'u-{number}', 1), f'a-{number}')
         quarantine.on_restart((f'v-{number}', 1), f'a-{number}')
@@ -47,9 +47,9 @@
 async def test_refusal_says_whether_the_request_may_have_run(
     may_have_run: bool,
 ) -> None:
-    """Guards against a promise that nothing ran where something did."""
+    """Guards against a refusal that claims not_run though something ran."""
     quarantine = build()
-    end(quarantine, MAX_CRASHES)
+    crash(quarantine, MAX_CRASHES)
     with pytest.raises(RefusedError) as raised:
         await quarantine.admit('f', may_have_run=may_have_run)
     refusal = raised.value.refusal
@@ -58,11 +58,11 @@
     assert refusal.retry_after == BASE_QUARANTINE_TIME
 
 
-async def test_suspect_runs_once_at_a_time_and_apart() -> None:
-    """Guards against copies that end several upstreams side by side."""
+async def test_suspect_runs_once_at_a_time_and_isolated() -> None:
+    """Guards against repeats that crash several upstreams concurrently."""
     quarantine = build()
-    end(quarantine, 2, 'first')
-    end(quarantine, 2, 'second')
+    crash(quarantine, 2, 'first')
+    crash(quarantine, 2, 'second')
     assert quarantine.on_start('first', 'u')
     assert not quarantine.may_begin('first')
     with pytest.raises(RefusedError) as raised:
@@ -76,8 +76,8 @@
     assert not quarantine.list_avoided('second')
 
 
-async def test_daemons_add_up_what_they_see() -> None:
-    """Guards against three upstreams lost at each daemon."""
+async def test_daemons_share_their_observed_crashes() -> None:
+    """Guards against a request that crashes three upstreams per daemon."""
     names = [f'vm-{number}' for number in range(4)]
     members = [Member(name, f'{name}-1', 'hall', name) for name in names]
     network = FakeNetwork()
@@ -106,10 +106,10 @@
 
 
 def run_cascade(*, isolated: bool) -> int:
-    """Let overloaded upstreams end until all requests are answered.
+    """Crash overloaded upstreams until all requests are answered.
 
-    :param isolated: whether suspects keep apart.
-    :returns: how many requests were quarantined.
+    :param isolated: whether suspects avoid upstreams that run other suspects.
+    :returns: number of quarantined requests.
     """
     clock = FakeClock()
     quarantine = Quarantine(QuarantineRecords(clock), Counters())
@@ -150,27 +150,27 @@
 
 
 @pytest.mark.parametrize(('isolated', 'blamed'), [(True, False), (False, True)])
-def test_overload_that_ends_upstreams_in_turn_blames_nobody(
+def test_overload_that_crashes_upstreams_in_turn_quarantines_nothing(
     isolated: bool,
     blamed: bool,
 ) -> None:
-    """Guards against blame for a burst that ends one upstream after another."""
+    """Guards against blame for a burst that crashes upstreams in turn."""
     assert bool(run_cascade(isolated=isolated)) is blamed
 
 
 def test_gauge_counts_quarantined_requests() -> None:
-    """Guards against a quarantine that operators don't see."""
+    """Guards against a quarantine that is not shown to operators."""
     counters = Counters()
     quarantine = Quarantine(QuarantineRecords(FakeClock()), counters)
-    end(quarantine, MAX_CRASHES)
+    crash(quarantine, MAX_CRASHES)
     quarantine.adopt('g', ['u'], timedelta(0), 0)
     assert list(counters.gauges['requests_quarantined'].values()) == [2]
     quarantine.lift('f', 'test')
     assert list(counters.gauges['requests_quarantined'].values()) == [1]
 
 
-async def test_ends_of_one_moment_go_out_together() -> None:
-    """Guards against a message to each daemon for each of hundreds of ends."""
+async def test_simultaneous_crash_reports_are_batched() -> None:
+    """Guards against one message per daemon for each of hundreds of crashes."""
     own, other = (
         Member(name, f'{name}-1', 'hall', name) for name in ('vm-0', 'vm-1')
     )
--- a/quetzalcourse/tests/coordination/quarantine/quarantine_store_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/quarantine_store_tests.py
@@ -1,4 +1,4 @@
-"""Quarantines in the store: across restarts, outages and operators."""
+"""Quarantines in the store: restarts, store outages and operator actions."""
 
 from __future__ import annotations
 
@@ -33,27 +33,26 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NOTICED = timedelta(seconds=1)
+PROPAGATION = timedelta(seconds=1)
 KEY = f'{PREFIX}f'
 
 
-class StoreTime:
-    """Store whose clock runs like the daemons'."""
+class FakeStoreClock:
+    """Store clock in step with the daemons' clock."""
 
     def __init__(self, clock: FakeClock) -> None:
-        """Keep the clock."""
         self._clock = clock
 
     def estimate(self) -> timedelta:
-        """Tell the store's time."""
+        """Return the store's time."""
         return self._clock.elapsed()
 
 
 class Daemon:
-    """What one daemon has of the quarantine."""
+    """The quarantine parts of one daemon."""
 
     def __init__(self, feed: FakeFeed, clock: FakeClock) -> None:
-        """Begin to follow the table."""
+        """Start to follow the table."""
         self.quarantine = Quarantine(QuarantineRecords(clock), Counters())
         follower = TableFollower(
             feed,
@@ -65,29 +64,29 @@
         )
         table: Any = feed
         self.rows = QuarantineStore(
-            self.quarantine, table, follower, StoreTime(clock), clock
+            self.quarantine, table, follower, FakeStoreClock(clock), clock
         )
         self.tasks = [
             asyncio.ensure_future(follower.run()),
             asyncio.ensure_future(self.rows.run()),
         ]
 
-    def end_upstreams(self) -> None:
-        """Let enough upstreams end under a request."""
+    def crash_upstreams(self) -> None:
+        """Crash enough upstreams to quarantine the request."""
         for number in range(MAX_CRASHES):
             self.quarantine.on_crash('f', (f'u-{number}', 1), f'a-{number}')
             self.quarantine.on_restart((f'v-{number}', 2), f'a-{number}')
 
     def find_state(self) -> RequestState:
-        """Tell the state of the request."""
+        """Return the state of the request."""
         return self.quarantine.records.find_state('f')
 
 
 class World:
-    """A store and daemons on one clock."""
+    """A store and daemons that share one clock."""
 
     def __init__(self) -> None:
-        """Begin without daemons."""
+        """Start without daemons."""
         self.clock = FakeClock()
         self.feed = FakeFeed(self.clock)
         self.daemons: list[Daemon] = []
@@ -99,8 +98,8 @@
         await self.pass_time()
         return started
 
-    async def pass_time(self, duration: timedelta = NOTICED) -> None:
-        """Let rows reach the daemons."""
+    async def pass_time(self, duration: timedelta = PROPAGATION) -> None:
+        """Advance the clock so that rows reach the daemons."""
         for _ in range(4):
             await self.clock.advance(duration / 4)
 
@@ -113,7 +112,7 @@
 
 @pytest.fixture
 async def world() -> Iterator[World]:  # type: ignore[misc]
-    """Build a store."""
+    """Build a store, and cancel the daemons' tasks at the end."""
     built = World()
     yield built
     for daemon in built.daemons:
@@ -121,73 +120,73 @@
             task.cancel()
 
 
-async def test_quarantine_reaches_daemons_that_heard_nothing(
+async def test_quarantine_reaches_daemons_without_messages(
     world: World,
 ) -> None:
-    """Guards against daemons that missed the messages of the others."""
+    """Guards against daemons that missed the messages between daemons."""
     first, second = await world.start(2)
-    first.end_upstreams()
+    first.crash_upstreams()
     await world.pass_time()
     assert second.find_state() is RequestState.quarantined
     (third,) = await world.start()
     assert third.find_state() is RequestState.quarantined
 
 
-async def test_quarantine_is_written_once_the_store_is_back(
+async def test_quarantine_is_written_after_store_outage(
     world: World,
 ) -> None:
-    """Guards against a quarantine that an outage of the store loses."""
+    """Guards against a quarantine that is lost in a store outage."""
     (daemon,) = await world.start()
     world.feed.down = True
-    daemon.end_upstreams()
-    await world.pass_time(3 * NOTICED)
+    daemon.crash_upstreams()
+    await world.pass_time(3 * PROPAGATION)
     assert daemon.find_state() is RequestState.quarantined
     world.feed.down = False
-    await world.pass_time(3 * NOTICED)
+    await world.pass_time(3 * PROPAGATION)
     assert world.has_row
 
 
-async def test_daemon_that_starts_late_keeps_the_time(world: World) -> None:
+async def test_restarted_daemon_keeps_end_of_quarantine(world: World) -> None:
     """Guards against a quarantine that each restart prolongs."""
     (daemon,) = await world.start()
-    daemon.end_upstreams()
-    await world.pass_time(BASE_QUARANTINE_TIME - 30 * NOTICED)
+    daemon.crash_upstreams()
+    await world.pass_time(BASE_QUARANTINE_TIME - 30 * PROPAGATION)
     (late,) = await world.start()
     left = late.quarantine.records.find_time_left('f')
-    assert NOTICED < left < 32 * NOTICED
+    assert PROPAGATION < left < 32 * PROPAGATION
 
 
-async def test_operator_lifts_a_quarantine(world: World) -> None:
-    """Guards against a quarantine that stays at some daemons."""
+async def test_operator_lifts_quarantine_at_all_daemons(world: World) -> None:
+    """Guards against a lifted quarantine that remains at some daemons."""
     daemons = await world.start(2)
-    daemons[0].end_upstreams()
+    daemons[0].crash_upstreams()
     await world.pass_time()
     world.feed.remove(KEY)
-    await world.pass_time(10 * NOTICED)
+    await world.pass_time(10 * PROPAGATION)
     assert {one.find_state() for one in daemons} == {RequestState.sound}
     assert not world.has_row
 
 
-async def test_answer_lifts_a_quarantine_everywhere(world: World) -> None:
+async def test_answer_lifts_quarantine_at_all_daemons(world: World) -> None:
     """Guards against an innocent request that stays quarantined."""
     first, second = await world.start(2)
-    first.end_upstreams()
+    first.crash_upstreams()
     first.quarantine.on_answer('f', ('v-0', 2))
-    await world.pass_time(10 * NOTICED)
+    await world.pass_time(10 * PROPAGATION)
     assert not world.has_row
-    second.end_upstreams()
+    second.crash_upstreams()
     await world.pass_time()
     first.quarantine.on_answer('f', ('v-0', 2))
-    await world.pass_time(10 * NOTICED)
+    await world.pass_time(10 * PROPAGATION)
     assert not world.has_row
     assert second.find_state() is RequestState.sound
 
 
-async def test_one_daemon_runs_the_trial(world: World) -> None:
-    """Guards against a trial that ends an upstream for each daemon."""
+async def test_only_one_daemon_runs_the_trial(world: World) -> None:
+    """Guards against a trial that crashes an upstream for each daemon."""
     daemons = await world.start(3)
-    daemons[0].end_upstreams()
-    await world.pass_time(BASE_QUARANTINE_TIME + NOTICED)
+    daemons[0].crash_upstreams()
+    await world.pass_time(BASE_QUARANTINE_TIME + PROPAGATION)
     assert daemons[2].find_state() is RequestState.due
     claims = await asyncio.gather(*(one.rows.claim('f') for one in daemons))
     assert sorted(claims) == [False, False, True]
@@ -195,11 +194,11 @@
     assert {one.find_state() for one in daemons} == {RequestState.quarantined}
 
 
-async def test_item_gets_its_trial_without_waiting(world: World) -> None:
-    """Guards against items that are never tried again."""
+async def test_item_gets_its_trial_from_background_claim(world: World) -> None:
+    """Guards against quarantined items that are never tried again."""
     (daemon,) = await world.start()
-    daemon.end_upstreams()
-    await world.pass_time(BASE_QUARANTINE_TIME + NOTICED)
+    daemon.crash_upstreams()
+    await world.pass_time(BASE_QUARANTINE_TIME + PROPAGATION)
     assert not daemon.quarantine.may_begin('f')
     await world.pass_time()
     assert daemon.quarantine.may_begin('f')
@@ -207,9 +206,9 @@
 
 
 async def test_outdated_row_is_removed(world: World) -> None:
-    """Guards against rows that pile up in the store."""
+    """Guards against rows that accumulate in the store."""
     (daemon,) = await world.start()
-    daemon.end_upstreams()
+    daemon.crash_upstreams()
     await world.pass_time()
     world.clock.move(QUARANTINE_RETENTION)
     (late,) = await world.start()
@@ -218,8 +217,8 @@
     assert not world.has_row
 
 
-async def test_malformed_row_changes_nothing(world: World) -> None:
-    """Guards against a daemon that a foreign row brings down."""
+async def test_malformed_row_is_ignored(world: World) -> None:
+    """Guards against a daemon that fails on a foreign row."""
     (daemon,) = await world.start()
     world.feed.put(KEY, b'{')
     await world.pass_time()
@@ -227,8 +226,8 @@
     assert store_module.TABLE == KEY.partition('/')[0]
 
 
-async def test_few_daemons_write_what_all_learn(world: World) -> None:
-    """Guards against a write of each daemon at the same moment."""
+async def test_only_observing_daemon_writes_the_row(world: World) -> None:
+    """Guards against a write by every daemon at the same moment."""
     daemons = await world.start(8)
     for number in range(MAX_CRASHES):
         run = (f'u-{number}', 1)
@@ -238,13 +237,13 @@
     for daemon in daemons:
         for number in range(MAX_CRASHES):
             daemon.quarantine.on_restart((f'v-{number}', 2), f'a-{number}')
-    await world.pass_time(10 * NOTICED)
+    await world.pass_time(10 * PROPAGATION)
     assert world.has_row
     assert world.feed.writes == 1
     assert {one.find_state() for one in daemons} == {RequestState.quarantined}
 
 
-async def test_quarantine_is_written_though_its_witness_died(
+async def test_missing_row_is_written_if_observing_daemon_died(
     world: World,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/quetzalcourse/tests/coordination/quarantine/records_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/records_tests.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined, for how long, and what lifts it."""
+"""Crash records: which requests are quarantined, and for how long."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 
 def build() -> tuple[QuarantineRecords, FakeClock]:
-    """Build records and their clock."""
+    """Build empty records and their clock."""
     clock = FakeClock()
     return QuarantineRecords(clock), clock
 
 
-def end(records: QuarantineRecords, count: int, name: str = 'f') -> None:
-    """Let as many upstreams end under a request and begin anew."""
+def crash(records: QuarantineRecords, count: int, name: str = 'f') -> None:
+    """Crash and restart a number of upstreams under a request."""
     for number in range(count):
-        end_one(records, (f'u-{number}', 1), name)
+        crash_one(records, (f'u-{number}', 1), name)
 
 
-def end_one(
+def crash_one(
     records: QuarantineRecords, run: UpstreamRun, name: str = 'f'
 ) -> None:
-    """Let an upstream end under a request and begin anew."""
+    """Crash and restart an upstream under a request."""
     upstream, started = run
     records.on_crash(name, run, upstream)
     records.on_restart((upstream, started + 1), upstream)
 
 
-def test_third_end_quarantines() -> None:
-    """Guards against a request that goes on to a fourth upstream."""
+def test_third_crash_quarantines() -> None:
+    """Guards against a request that reaches a fourth upstream."""
     records, _ = build()
     states = []
     for number in range(4):
         states.append(records.find_state('f'))
-        end_one(records, (f'u-{number}', 1))
+        crash_one(records, (f'u-{number}', 1))
     assert states == [
         RequestState.sound,
         RequestState.sound,
@@ -50,8 +50,8 @@
     ]
 
 
-def test_end_of_one_run_counts_once() -> None:
-    """Guards against blame for one end that several daemons report."""
+def test_crash_of_one_run_counts_once() -> None:
+    """Guards against blame for one crash that several daemons report."""
     records, _ = build()
     assert records.on_crash('f', ('u', 1), 'u')
     assert not records.on_crash('f', ('u', 1), 'u')
@@ -59,29 +59,29 @@
     assert records.find_state('f') is RequestState.suspect
 
 
-def test_ends_count_since_the_last_answer() -> None:
+def test_crashes_count_since_the_last_answer() -> None:
     """Guards against blame for a popular request that is mostly answered."""
     records, _ = build()
     for number in range(9):
-        end_one(records, (f'u-{number}', 1))
+        crash_one(records, (f'u-{number}', 1))
         if number % 2:
             records.forget('f')
     assert records.find_state('f') is RequestState.sound
 
 
-def test_old_ends_are_forgotten() -> None:
-    """Guards against blame that adds up over days."""
+def test_old_crashes_are_discarded() -> None:
+    """Guards against blame that accumulates over days."""
     records, clock = build()
-    end(records, 2)
+    crash(records, 2)
     clock.move(limits.RECORD_TTL + SECOND)
-    end_one(records, ('later', 1))
+    crash_one(records, ('later', 1))
     assert records.find_state('f') is RequestState.sound
 
 
-def test_trials_come_later_each_time_and_end() -> None:
-    """Guards against upstreams that end for trials all day long."""
+def test_time_between_trials_doubles_and_trials_are_limited() -> None:
+    """Guards against trials that crash upstreams all day."""
     records, clock = build()
-    end(records, limits.MAX_CRASHES)
+    crash(records, limits.MAX_CRASHES)
     waits = []
     for trial in range(limits.MAX_TRIALS):
         wait = records.find_time_left('f')
@@ -100,7 +100,7 @@
     assert records.find_state('f') is RequestState.sound
 
 
-def test_quarantine_that_is_learned_late_ends_in_time() -> None:
+def test_quarantine_learned_late_ends_on_time() -> None:
     """Guards against a quarantine that each restart prolongs."""
     records, _ = build()
     records.quarantine('f', limits.BASE_QUARANTINE_TIME - SECOND)
@@ -108,47 +108,47 @@
 
 
 def test_number_of_records_is_bounded() -> None:
-    """Guards against a caller who fills the memory with requests."""
+    """Guards against a caller who fills the memory with records."""
     records, clock = build()
-    end(records, limits.MAX_CRASHES, 'quarantined')
+    crash(records, limits.MAX_CRASHES, 'quarantined')
     for number in range(limits.MAX_RECORDS + 10):
         clock.move(timedelta(milliseconds=1))
-        end(records, 1, f'f-{number}')
+        crash(records, 1, f'f-{number}')
     assert len(records) == limits.MAX_RECORDS
     assert records.find_state('quarantined') is RequestState.quarantined
     assert records.find('f-0') is None
 
 
-def test_ends_hold_a_request_until_they_are_confirmed() -> None:
-    """Guards against a fourth end while upstreams are still down."""
+def test_request_is_held_until_its_crashes_are_confirmed() -> None:
+    """Guards against a fourth crash while upstreams are still down."""
     records, clock = build()
     for number in range(limits.MAX_CRASHES):
         records.on_crash('f', (f'u-{number}', 1), f'a-{number}')
     assert records.find_state('f') is RequestState.held
     assert not records.list_quarantined()
-    returned = [
+    quarantined = [
         records.on_restart((f'v-{number}', 2), f'a-{number}')
         for number in range(limits.MAX_CRASHES)
     ]
-    assert returned == [[], [], ['f']]
+    assert quarantined == [[], [], ['f']]
     clock.move(limits.UNCONFIRMED_TTL * 2)
     assert records.find_state('f') is RequestState.quarantined
 
 
-def test_ends_that_are_never_confirmed_are_forgotten() -> None:
+def test_unconfirmed_crashes_are_discarded() -> None:
     """Guards against blame for a partition that resets connections."""
     records, clock = build()
     for number in range(limits.MAX_CRASHES):
         records.on_crash('f', (f'u-{number}', 1), f'a-{number}')
-        # The same run registers again once the partition is over.
+        # The same run registers again after the partition.
         records.on_restart((f'u-{number}', 1), f'a-{number}')
     clock.move(limits.UNCONFIRMED_TTL + SECOND)
     assert records.find_state('f') is RequestState.sound
     assert not len(records)
 
 
-def test_upstream_that_answers_has_not_ended() -> None:
-    """Guards against blame after a connection was reset on its way."""
+def test_upstream_that_answers_has_not_crashed() -> None:
+    """Guards against blame after a connection reset by the network."""
     records, _ = build()
     for number in range(limits.MAX_CRASHES):
         records.on_crash('f', (f'u-{number}', 1), f'a-{number}')
@@ -157,13 +157,13 @@
 
 
 @pytest.mark.parametrize('confirmed', [False, True])
-def test_upstreams_that_end_at_once_count_as_one_event(
+def test_simultaneous_crashes_count_as_one_event(
     confirmed: bool,
 ) -> None:
     """Guards against blame when a data centre or many upstreams are lost."""
     records, clock = build()
     for number in range(6):
-        # A request that is retried meets one after another.
+        # A retried request reaches one after another.
         run = (f'u-{number}', 1)
         records.on_crash('f' if number < 4 else 'other', run, f'a-{number}')
         clock.move(timedelta(milliseconds=2))
@@ -177,7 +177,7 @@
     assert records.find_state('f') is RequestState.held
 
 
-def test_bystander_is_not_blamed_for_what_another_request_did() -> None:
+def test_innocent_request_on_the_same_upstreams_is_not_quarantined() -> None:
     """Guards against blame for requests that shared all three upstreams."""
     records, clock = build()
     for number in range(limits.MAX_CRASHES):
@@ -186,10 +186,10 @@
             records.on_crash(name, run, f'a-{number}')
         records.on_restart((f'v-{number}', 2), f'a-{number}')
         clock.move(SECOND)
-    # Nobody can tell them apart yet: both run, apart from each other.
+    # Their records are equal so far: both run, isolated from each other.
     for name in ('bystander', 'f'):
         assert records.find_state(name) is RequestState.suspect
-    end_one(records, ('w', 1))
+    crash_one(records, ('w', 1))
     assert records.find_state('f') is RequestState.quarantined
     assert records.find_state('bystander') is RequestState.suspect
     records.on_crash('bystander', ('x', 1), 'b')
