--- a/bench/suites/coordinators.py
+++ b/bench/suites/coordinators.py
@@ -41,7 +41,7 @@
         first, second = COORDINATORS[:2]
         world.network.cut(first, second)
         world.network.cut(second, first)
-    await world.meet()
+    await world.introduce_coordinators()
     for coordinator in world.coordinators:
         coordinator.begin(ITEMS)
     return await world.play(TICKS)
@@ -64,7 +64,7 @@
     took = []
     for count in (LARGE, SMALL):
         world = WatchWorld(count)
-        took.append(await world.measure(world.takers[rank]))
+        took.append(await world.measure(world.successors[rank]))
     return took[0] / took[1]
 
 
--- a/bench/suites/rollouts.py
+++ b/bench/suites/rollouts.py
@@ -39,7 +39,7 @@
 )
 from quetzalcourse.tests.coordination.versions.load_plan_tests import (
     build_views,
-    carry_out,
+    apply_loads,
 )
 
 FIGURES = (
@@ -183,7 +183,7 @@
         named = dict.fromkeys(names, version)
         while loads := plan_loads(views, named):
             count += len(loads)
-            views = carry_out(views, loads)
+            views = apply_loads(views, loads)
     each = count / (MODELS * (VERSIONS - 2))
     return Figure(
         'weight_loads_per_version',
@@ -253,7 +253,7 @@
         for name in names:
             named[name] = version
             while loads := plan(views, named):
-                views = carry_out(views, loads)
+                views = apply_loads(views, loads)
         idle += sum(not count_usable_models(view, named) for view in views)
     return idle / (VERSIONS - 2)
 
--- a/quetzalcourse/coordination/batches/batch_rows.py
+++ b/quetzalcourse/coordination/batches/batch_rows.py
@@ -204,7 +204,7 @@
         )
         return _read_commit(answer, key)
 
-    async def refuse(
+    async def write_refusal(
         self, head: BatchHead
     ) -> Result[AppliedWrite | Row, StoreFault]:
         """Write a refusal in the place of a batch.
@@ -221,7 +221,7 @@
         )
         return _read_commit(answer, key)
 
-    async def take(
+    async def take_ownership(
         self,
         batch: str,
         version: int,
@@ -240,7 +240,7 @@
         )
         return _read_commit(answer, key)
 
-    async def save(
+    async def save_partials(
         self,
         batch: str,
         owner_version: int,
@@ -277,7 +277,7 @@
             ]
         )
 
-    async def commit(
+    async def commit_results(
         self,
         batch: str,
         owner_version: int,
@@ -305,7 +305,9 @@
         )
         return _read_commit(answer, owner)
 
-    async def end(self, batch: str) -> Result[AppliedWrite | Row, StoreFault]:
+    async def mark_ended(
+        self, batch: str
+    ) -> Result[AppliedWrite | Row, StoreFault]:
         """Note that the caller wants no more of a batch."""
         key = name_row(batch, END)
         answer = await self._table.transact(
@@ -313,7 +315,7 @@
         )
         return _read_commit(answer, key)
 
-    async def read_small(
+    async def read_metadata(
         self,
         batch: str,
     ) -> Result[list[Row], StoreFault]:
--- a/quetzalcourse/coordination/batches/batch_run.py
+++ b/quetzalcourse/coordination/batches/batch_run.py
@@ -36,7 +36,7 @@
     :param expires_at: time since boot after which items may be given up.
     :param saved_at: time since boot at which texts were saved last.
     :param committed: results that stand in the store.
-    :param finished: results that do not yet.
+    :param uncommitted: results that do not yet.
     """
 
     head: BatchHead
@@ -46,9 +46,9 @@
     expires_at: timedelta
     saved_at: timedelta = timedelta(0)
     committed: int = 0
-    finished: list[ItemResult] = field(default_factory=list)
+    uncommitted: list[ItemResult] = field(default_factory=list)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
-    committer: asyncio.Task[None] | None = None
+    commit_task: asyncio.Task[None] | None = None
 
     @property
     def done(self) -> bool:
@@ -64,34 +64,36 @@
         if run.state is ItemState.finished:
             return
         run.state = ItemState.finished
-        self.finished.append(result)
+        self.uncommitted.append(result)
         self.wake.set()
 
-    def take_finished(self) -> list[ItemResult]:
+    def take_uncommitted(self) -> list[ItemResult]:
         """Take as many finished results as one commit holds."""
         size = 0
         count = 0
-        for result in self.finished:
+        for result in self.uncommitted:
             size += len(result.text)
             if count and size > COMMIT_BYTES:
                 break
             count += 1
-        taken = self.finished[:count]
-        self.finished = self.finished[count:]
-        if self.finished:
+        taken = self.uncommitted[:count]
+        self.uncommitted = self.uncommitted[count:]
+        if self.uncommitted:
             self.wake.set()
         return taken
 
-    def save(self) -> dict[int, PartialText]:
+    def collect_partials(self) -> dict[int, PartialText]:
         """Give the texts of unfinished items, by their ranks."""
-        saved = {run.index: run.save() for run in self.items}
+        saved = {run.index: run.build_partial() for run in self.items}
         return {
             rank: partial
             for rank, partial in saved.items()
             if partial is not None
         }
 
-    def save_long(self, oldest: timedelta) -> dict[int, PartialText]:
+    def collect_changed_partials(
+        self, oldest: timedelta
+    ) -> dict[int, PartialText]:
         """Give the texts that went on since they were saved last.
 
         :param oldest: time since boot before which an attempt began.
@@ -100,7 +102,7 @@
             run.index: partial
             for run in self.items
             if _is_worth_saving(run, oldest)
-            and (partial := run.save()) is not None
+            and (partial := run.build_partial()) is not None
         }
 
     def restore(self, partials: Sequence[PartialText]) -> None:
@@ -114,8 +116,8 @@
         for run in self.items:
             if run.task is not None:
                 run.task.cancel()
-        if self.committer is not None:
-            self.committer.cancel()
+        if self.commit_task is not None:
+            self.commit_task.cancel()
 
 
 def _is_worth_saving(run: ItemRun, oldest: timedelta) -> bool:
@@ -125,7 +127,7 @@
     score while the service that gives it is slow or away.
     """
     if run.text_complete:
-        return not run.saved_whole
+        return not run.saved_complete
     return run.started_at < oldest and run.last_event != run.saved_event
 
 
--- a/quetzalcourse/coordination/batches/batch_service.py
+++ b/quetzalcourse/coordination/batches/batch_service.py
@@ -49,8 +49,8 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.routing import Route
 
-COME_BACK = timedelta(milliseconds=300)
-WRITE_RETRY = timedelta(milliseconds=100)
+RETRY_AFTER = timedelta(milliseconds=300)
+CREATE_RETRY_DELAY = timedelta(milliseconds=100)
 # How long a caller who submits is kept while the store gives no answer;
 # it asks again elsewhere then, and the batch still has most of its time.
 CREATE_TIMEOUT = timedelta(seconds=2.5)
@@ -110,8 +110,10 @@
         )
         outcome = await self._coordinators.offer(head, submission.items)
         if outcome is not OfferOutcome.accepted:
-            unsure = outcome is OfferOutcome.unknown
-            await self._accept(head, submission.items, unsure=unsure)
+            outcome_unknown = outcome is OfferOutcome.unknown
+            await self._accept(
+                head, submission.items, outcome_unknown=outcome_unknown
+            )
 
     async def accept_offer(
         self,
@@ -144,11 +146,11 @@
         head: BatchHead,
         items: Sequence[BatchItem],
         *,
-        unsure: bool = False,
+        outcome_unknown: bool = False,
     ) -> None:
         """Accept a batch and begin to run it.
 
-        :param unsure: whether another daemon may have accepted it.
+        :param outcome_unknown: whether another daemon may have accepted it.
         """
         accepted_at = self._clock.elapsed()
         own = self._members.own
@@ -156,13 +158,13 @@
         if own.leaving:
             owner = Ownership('', '', 1)
         # The feed may show the batch before the answer to its write comes.
-        self._runner.reserved.add(head.id)
+        self._runner.accepting.add(head.id)
         try:
             written = await self._create(
-                head, split_items(items), owner, unsure=unsure
+                head, split_items(items), owner, outcome_unknown=outcome_unknown
             )
         finally:
-            self._runner.reserved.discard(head.id)
+            self._runner.accepting.discard(head.id)
         if written is None:
             return
         log.info(
@@ -223,7 +225,7 @@
         view = await self._find(batch_id, client_account)
         if view.ended:
             return
-        answer = await self._rows.end(batch_id)
+        answer = await self._rows.mark_ended(batch_id)
         if isinstance(answer, Err):
             raise RefusedError(_refuse_store())
         view.ended = True
@@ -243,7 +245,7 @@
         view = self._directory.find(batch_id)
         if view is None:
             # What the feed has not told yet may stand all the same.
-            answer = await self._rows.read_small(batch_id)
+            answer = await self._rows.read_metadata(batch_id)
             if isinstance(answer, Err):
                 raise RefusedError(_refuse_store())
             self._directory.adopt(answer.ok_value)
@@ -260,38 +262,38 @@
         chunks: list[bytes],
         owner: Ownership,
         *,
-        unsure: bool,
+        outcome_unknown: bool,
     ) -> AppliedWrite | None:
         """Write a batch until it stands, here or by another daemon.
 
-        :param unsure: whether a write of it may be under way already.
+        :param outcome_unknown: whether a write of it may be under way already.
         :returns: the write, ``None`` if it stood already.
         """
-        ends = self._clock.elapsed() + CREATE_TIMEOUT
+        deadline = self._clock.elapsed() + CREATE_TIMEOUT
         replaced = ABSENT
-        while self._clock.elapsed() < ends:
+        while self._clock.elapsed() < deadline:
             answer = await self._rows.create(head, chunks, owner, replaced)
             if isinstance(answer, Err):
-                unsure |= answer.err_value.kind is FaultKind.unanswered
-                await self._clock.sleep(WRITE_RETRY)
+                outcome_unknown |= answer.err_value.kind is FaultKind.unanswered
+                await self._clock.sleep(CREATE_RETRY_DELAY)
                 continue
             if isinstance(answer.ok_value, AppliedWrite):
                 return answer.ok_value
-            replaced = await self._learn(head.id, answer.ok_value)
+            replaced = await self._read_existing(head.id, answer.ok_value)
             if self._directory.find(head.id) is not None:
                 return None
-        if unsure:
+        if outcome_unknown:
             raise OutcomeUnknownError(head.id)
         raise RefusedError(_refuse_store())
 
-    async def _learn(self, batch_id: str, row: Row) -> int:
+    async def _read_existing(self, batch_id: str, row: Row) -> int:
         """Learn what stands in the place of a batch.
 
         :returns: version of the row that may be replaced.
         """
         if row.key == name_row(batch_id, HEAD) and row.version:
             self._directory.adopt([row])
-        answer = await self._rows.read_small(batch_id)
+        answer = await self._rows.read_metadata(batch_id)
         if isinstance(answer, Err):
             return row.version
         self._directory.adopt(answer.ok_value)
@@ -339,7 +341,7 @@
 
 def _refuse_for_now(code: RefusalCode, reason: str) -> Refusal:
     return Refusal(
-        code, reason, not_run=True, retry_after=COME_BACK, step='batch'
+        code, reason, not_run=True, retry_after=RETRY_AFTER, step='batch'
     )
 
 
--- a/quetzalcourse/coordination/batches/batch_takeover.py
+++ b/quetzalcourse/coordination/batches/batch_takeover.py
@@ -32,15 +32,15 @@
     from quetzalcourse.coordination.forwarding.residency import Residency
     from quetzalcourse.state.clock import Clock
 
-TICK = timedelta(milliseconds=150)
-IDLE = timedelta(milliseconds=500)
+ACTIVE_INTERVAL = timedelta(milliseconds=150)
+IDLE_INTERVAL = timedelta(milliseconds=500)
 # The daemons agree on who comes first; each next one waits this much
 # longer, in case those before it can't reach the store.
-RANK_WAIT = timedelta(milliseconds=400)
-KEPT = timedelta(minutes=2)
+SUCCESSOR_DELAY = timedelta(milliseconds=400)
+RESULT_RETENTION = timedelta(minutes=2)
 REMOVAL_MARGIN = timedelta(seconds=30)
 # As long as a daemon's silence counts as its end.
-SHOWN = timedelta(seconds=1.4)
+OWNERSHIP_GRACE = timedelta(seconds=1.4)
 REMOVAL_INTERVAL = timedelta(seconds=1)
 log = get_log('batches')
 
@@ -62,7 +62,7 @@
         residency: Residency,
     ) -> None:
         """Watch the directory."""
-        self.result_retention = KEPT
+        self.result_retention = RESULT_RETENTION
         self._rows = rows
         self._directory = directory
         self._runner = runner
@@ -71,8 +71,8 @@
         self._clock = clock
         self._residency = residency
         self._orphaned: dict[str, timedelta] = {}
-        self._taking: dict[str, asyncio.Task[None]] = {}
-        self._shown: dict[str, tuple[int, timedelta]] = {}
+        self._in_progress: dict[str, asyncio.Task[None]] = {}
+        self._owners_seen: dict[str, tuple[int, timedelta]] = {}
         self._removed_at = timedelta(0)
         self._wake = asyncio.Event()
         self._tasks = Tasks('takeover')
@@ -80,7 +80,7 @@
 
     def on_batch(self, view: BatchView) -> None:
         """Let go of a batch that ended or has another owner."""
-        self._note_owner(view)
+        self._record_owner(view)
         if view.open and view.owner is not None and not view.owner.incarnation:
             # Its owner stops; nobody need be silent first.
             self._wake.set()
@@ -97,18 +97,18 @@
         while True:
             self._wake.clear()
             if not self._presence.own.leaving:
-                self._review()
-            await wait_event(self._wake, self._find_pause())
+                self._check_batches()
+            await wait_event(self._wake, self._choose_interval())
 
-    def _find_pause(self) -> timedelta:
+    def _choose_interval(self) -> timedelta:
         """Tell how soon batches are looked at again.
 
         Those that take over first look closely; all the others wait for
         them anyway, and hundreds of daemons would be busy with looking.
         """
         if self._presence.watching or self._orphaned:
-            return TICK
-        return IDLE
+            return ACTIVE_INTERVAL
+        return IDLE_INTERVAL
 
     async def hand_over(self) -> None:
         """Let go of every batch, so that others begin with it at once."""
@@ -121,31 +121,34 @@
         # a rolling restart would come seconds late.
         await asyncio.gather(
             *(
-                self._rows.save(
-                    batch.head.id, batch.owner_version, batch.save(), nobody
+                self._rows.save_partials(
+                    batch.head.id,
+                    batch.owner_version,
+                    batch.collect_partials(),
+                    nobody,
                 )
                 for batch in owned
             )
         )
 
-    def _review(self) -> None:
+    def _check_batches(self) -> None:
         now = self._clock.elapsed()
         for view in list(self._directory.batches.values()):
             if self._is_orphaned(view):
                 since = self._orphaned.setdefault(view.id, now)
-                if now - since >= self._find_wait(view):
-                    self._begin(view)
+                if now - since >= self._compute_delay(view):
+                    self._start_takeover(view)
             else:
                 self._orphaned.pop(view.id, None)
             if not view.open:
-                self._consider_removal(view, now)
+                self._remove_if_expired(view, now)
 
     def _is_orphaned(self, view: BatchView) -> bool:
         if not view.open or view.owner is None:
             return False
-        if view.id in self._runner.batches or view.id in self._taking:
+        if view.id in self._runner.batches or view.id in self._in_progress:
             return False
-        if view.id in self._runner.reserved:
+        if view.id in self._runner.accepting:
             return False
         owner = view.owner
         if owner.incarnation in {'', self._presence.own.incarnation}:
@@ -155,19 +158,22 @@
         )
         if replaced:
             return True
-        if self._clock.elapsed() - self._shown[view.id][1] < SHOWN:
+        if (
+            self._clock.elapsed() - self._owners_seen[view.id][1]
+            < OWNERSHIP_GRACE
+        ):
             return False
         return not self._presence.is_live(owner.vm, owner.incarnation)
 
-    def _note_owner(self, view: BatchView) -> None:
+    def _record_owner(self, view: BatchView) -> None:
         # Whoever has just written itself as the owner lives, whatever its
         # heartbeats say: they may have been held up while the batch was not.
-        shown = self._shown.get(view.id)
+        shown = self._owners_seen.get(view.id)
         if shown is None or shown[0] != view.owner_version:
             now = self._clock.elapsed()
-            self._shown[view.id] = (view.owner_version, now)
+            self._owners_seen[view.id] = (view.owner_version, now)
 
-    def _find_wait(self, view: BatchView) -> timedelta:
+    def _compute_delay(self, view: BatchView) -> timedelta:
         own = self._presence.own
         if view.owner is not None and view.owner.incarnation == own.incarnation:
             return timedelta(0)
@@ -178,21 +184,25 @@
             self._presence.find_data_centre(view.owner),
         )
         ranked = rank_successors(view.id, before, holders)
-        return RANK_WAIT * ranked.index(own) if own in ranked else RANK_WAIT * 9
+        return (
+            SUCCESSOR_DELAY * ranked.index(own)
+            if own in ranked
+            else SUCCESSOR_DELAY * 9
+        )
 
-    def _begin(self, view: BatchView) -> None:
-        task = self._tasks.begin(self._take(view))
-        self._taking[view.id] = task
-        task.add_done_callback(lambda _: self._taking.pop(view.id, None))
+    def _start_takeover(self, view: BatchView) -> None:
+        task = self._tasks.begin(self._take_over(view))
+        self._in_progress[view.id] = task
+        task.add_done_callback(lambda _: self._in_progress.pop(view.id, None))
 
-    async def _take(self, view: BatchView) -> None:
+    async def _take_over(self, view: BatchView) -> None:
         own = self._presence.own
         before = view.owner
         assert before is not None and view.head is not None  # noqa: S101
         version = view.owner_version
         if before.incarnation != own.incarnation:
             owner = Ownership(own.vm, own.incarnation, before.term + 1)
-            answer = await self._rows.take(view.id, version, owner)
+            answer = await self._rows.take_ownership(view.id, version, owner)
             if isinstance(answer, Err):
                 return
             if not isinstance(answer.ok_value, AppliedWrite):
@@ -229,7 +239,7 @@
             return
         self._runner.add(batch)
 
-    def _consider_removal(self, view: BatchView, now: timedelta) -> None:
+    def _remove_if_expired(self, view: BatchView, now: timedelta) -> None:
         store_now = self._store_clock.estimate()
         if view.head is None or store_now is None:
             return
@@ -242,12 +252,14 @@
         if ranked and ranked[0] == self._presence.own:
             self._removed_at = now
             task = self._tasks.begin(self._remove(view))
-            self._taking[view.id] = task
-            task.add_done_callback(lambda _: self._taking.pop(view.id, None))
+            self._in_progress[view.id] = task
+            task.add_done_callback(
+                lambda _: self._in_progress.pop(view.id, None)
+            )
 
     async def _remove(self, view: BatchView) -> None:
         answer = await self._rows.remove(view.id)
         if isinstance(answer, Err):
             return
-        self._shown.pop(view.id, None)
+        self._owners_seen.pop(view.id, None)
         log.info('Batch is removed.', batch=view.id)
--- a/quetzalcourse/coordination/batches/batch_writer.py
+++ b/quetzalcourse/coordination/batches/batch_writer.py
@@ -21,7 +21,7 @@
 
     CommitListener = Callable[[str, int, list[ItemResult]], None]
 
-COMMIT_RETRY = timedelta(milliseconds=150)
+COMMIT_RETRY_DELAY = timedelta(milliseconds=150)
 # Results that finish this close together share one write of the store.
 COMMIT_INTERVAL = timedelta(milliseconds=20)
 log = get_log('batches')
@@ -58,12 +58,12 @@
             await batch.wake.wait()
             await self._clock.sleep(COMMIT_INTERVAL)
             batch.wake.clear()
-            results = batch.take_finished()
+            results = batch.take_uncommitted()
             if results and not await self._write(batch, results):
                 return False
         return True
 
-    async def save(
+    async def save_partials(
         self,
         batch: BatchRun,
         partials: dict[int, PartialText],
@@ -72,7 +72,7 @@
 
         One that is not written is only made again.
         """
-        answer = await self._rows.save(
+        answer = await self._rows.save_partials(
             batch.head.id, batch.owner_version, partials
         )
         saved = answer.is_ok() and isinstance(answer.unwrap(), AppliedWrite)
@@ -83,34 +83,38 @@
 
         :returns: whether this daemon still owns the batch.
         """
-        unsure = False
+        outcome_unknown = False
         while True:
-            answer = await self._rows.commit(
+            answer = await self._rows.commit_results(
                 batch.head.id, batch.owner_version, batch.committed, results
             )
             if isinstance(answer, Err):
                 # The write may have taken effect; only a later conflict
                 # with its own row can tell.
-                unsure = True
-                await self._clock.sleep(COMMIT_RETRY)
+                outcome_unknown = True
+                await self._clock.sleep(COMMIT_RETRY_DELAY)
                 continue
             written = isinstance(answer.ok_value, AppliedWrite)
-            if written or (unsure and await self._stands(batch, results)):
-                self._note(batch, results)
+            if written or (
+                outcome_unknown and await self._is_committed(batch, results)
+            ):
+                self._on_written(batch, results)
                 return True
             return False
 
-    async def _stands(self, batch: BatchRun, results: list[ItemResult]) -> bool:
+    async def _is_committed(
+        self, batch: BatchRun, results: list[ItemResult]
+    ) -> bool:
         while True:
             answer = await self._rows.read_results(
                 batch.head.id, batch.committed
             )
             if isinstance(answer, Err):
-                await self._clock.sleep(COMMIT_RETRY)
+                await self._clock.sleep(COMMIT_RETRY_DELAY)
                 continue
             return answer.ok_value[: len(results)] == results
 
-    def _note(self, batch: BatchRun, results: list[ItemResult]) -> None:
+    def _on_written(self, batch: BatchRun, results: list[ItemResult]) -> None:
         position = batch.committed
         batch.committed += len(results)
         for listener in self._listeners:
--- a/quetzalcourse/coordination/batches/coordinator_list.py
+++ b/quetzalcourse/coordination/batches/coordinator_list.py
@@ -40,9 +40,13 @@
         }
         found = {member.vm: member for member in live if member.vm in owners}
         for data_centre in sorted({member.data_centre for member in live}):
-            near = [one for one in live if one.data_centre == data_centre]
+            local_members = [
+                one for one in live if one.data_centre == data_centre
+            ]
             for model in self._routes.models:
-                coordinator = find_coordinator(model, near[0], near)
+                coordinator = find_coordinator(
+                    model, local_members[0], local_members
+                )
                 found[coordinator.vm] = coordinator
         found.pop(self._members.own.vm, None)
         return list(found.values())
--- a/quetzalcourse/coordination/batches/coordinators.py
+++ b/quetzalcourse/coordination/batches/coordinators.py
@@ -89,8 +89,10 @@
         between data centres separates no submission from its coordinator.
     :param members: live daemons.
     """
-    near = [one for one in members if one.data_centre == own.data_centre]
-    return find_owner(model, list_high_capacity(near)) or own
+    local_members = [
+        one for one in members if one.data_centre == own.data_centre
+    ]
+    return find_owner(model, list_high_capacity(local_members)) or own
 
 
 class BatchCoordinators:
@@ -115,16 +117,16 @@
         self._peers = peers
         self._members = members
         self._follower = follower
-        self._take: BatchAcceptor | None = None
+        self._acceptor: BatchAcceptor | None = None
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._tasks = Tasks('coordinators')
         peers.subscribe(Topic.batch_offered, self.on_offered)
-        peers.subscribe(Topic.batch_told, self.on_message)
+        peers.subscribe(Topic.batch_told, self.on_reply)
 
-    def on_offer(self, take: BatchAcceptor) -> None:
+    def on_offer(self, acceptor: BatchAcceptor) -> None:
         """Call a taker with each batch that is offered here."""
-        self._take = take
+        self._acceptor = acceptor
 
     async def offer(
         self,
@@ -159,9 +161,9 @@
     def on_offered(self, sender: Member, content: bytes) -> None:
         """Take a batch that another daemon offers."""
         offered = msgspec.msgpack.decode(content, type=BatchOffer)
-        self._tasks.begin(self._accept(sender, offered))
+        self._tasks.begin(self._answer_offer(sender, offered))
 
-    def on_message(self, sender: Member, content: bytes) -> None:
+    def on_reply(self, sender: Member, content: bytes) -> None:
         """Take the answer to an offer."""
         reply = msgspec.msgpack.decode(content, type=OfferReply)
         waiting = self._waiting.get(reply.number)
@@ -186,10 +188,10 @@
             self._waiting.pop(number, None)
         return OfferOutcome.accepted if accepted else OfferOutcome.declined
 
-    async def _accept(self, sender: Member, offered: BatchOffer) -> None:
+    async def _answer_offer(self, sender: Member, offered: BatchOffer) -> None:
         outcome = OfferOutcome.declined
-        if self._take is not None and not self._follower.faulty:
-            outcome = await self._take(offered.head, offered.items)
+        if self._acceptor is not None and not self._follower.faulty:
+            outcome = await self._acceptor(offered.head, offered.items)
         if outcome is OfferOutcome.unknown:
             # Silence is the answer that promises nothing.
             return
--- a/quetzalcourse/coordination/batches/duration_predictor.py
+++ b/quetzalcourse/coordination/batches/duration_predictor.py
@@ -24,24 +24,24 @@
 
 # Share of a new item in the running means; some thirty items of a step are
 # enough to follow a model whose answers grow longer.
-WEIGHT = 1 / 16
+EWMA_WEIGHT = 1 / 16
 # Share of its length so far by which an item goes on that is longer than
 # estimated: errors of estimates are factors of about 1.5.
-OVERRUN = 0.25
+OVERRUN_SHARE = 0.25
 
 
 @dataclass(slots=True)
 class ModelDurations:
     """What the items of a model have shown.
 
-    :param factor: logarithm of the seconds that an item took for each token
-        of its estimate; errors of estimates are factors, so their logarithms
-        are averaged.
-    :param pace: seconds between two events.
+    :param log_seconds_per_token: logarithm of the seconds that an item took
+        for each token of its estimate; errors of estimates are factors, so
+        their logarithms are averaged.
+    :param seconds_per_event: seconds between two events.
     """
 
-    factor: float
-    pace: float
+    log_seconds_per_token: float
+    seconds_per_event: float
 
 
 class DurationPredictor:
@@ -51,7 +51,7 @@
         """Begin without items."""
         self._models: dict[str, ModelDurations] = {}
 
-    def learn(
+    def observe(
         self,
         model: str,
         estimate: int,
@@ -65,40 +65,55 @@
         seconds = took.total_seconds()
         if estimate <= 0 or events <= 0 or seconds <= 0:
             return
-        factor = math.log(seconds / estimate)
-        pace = seconds / events
-        known = self._models.setdefault(model, ModelDurations(factor, pace))
-        known.factor += (factor - known.factor) * WEIGHT
-        known.pace += (pace - known.pace) * WEIGHT
-
-    def predict(self, model: str, estimate: int, made: int) -> timedelta:
+        log_seconds_per_token = math.log(seconds / estimate)
+        seconds_per_event = seconds / events
+        known = self._models.setdefault(
+            model, ModelDurations(log_seconds_per_token, seconds_per_event)
+        )
+        known.log_seconds_per_token += (
+            log_seconds_per_token - known.log_seconds_per_token
+        ) * EWMA_WEIGHT
+        known.seconds_per_event += (
+            seconds_per_event - known.seconds_per_event
+        ) * EWMA_WEIGHT
+
+    def predict_remaining(
+        self, model: str, estimate: int, events_done: int
+    ) -> timedelta:
         """Predict how long an item still takes.
 
-        :param made: events that it has already.
+        :param events_done: events that it has already.
         :returns: zero if nothing is known of it.
         """
         known = self._models.get(model)
         if known is None or estimate <= 0:
             return timedelta(0)
-        seconds = math.exp(known.factor) * estimate - known.pace * made
+        seconds = (
+            math.exp(known.log_seconds_per_token) * estimate
+            - known.seconds_per_event * events_done
+        )
         return timedelta(seconds=max(seconds, 0))
 
     def predict_remaining_events(
-        self, model: str, estimate: int, made: int
+        self, model: str, estimate: int, events_done: int
     ) -> int:
         """Estimate how many events an item still has before it.
 
-        :param made: events that it has already. Lengths are so uneven that
-            without an estimate it has about as many before it as behind it,
-            and some also when it is longer than estimated.
+        :param events_done: events that it has already. Lengths are so uneven
+            that without an estimate it has about as many before it as behind
+            it, and some also when it is longer than estimated.
         """
         known = self._models.get(model)
         if known is None or estimate <= 0:
-            return made
-        expected = math.exp(known.factor) * estimate / known.pace
-        return int(max(expected - made, made * OVERRUN))
-
-    def order(
+            return events_done
+        expected = (
+            math.exp(known.log_seconds_per_token)
+            * estimate
+            / known.seconds_per_event
+        )
+        return int(max(expected - events_done, events_done * OVERRUN_SHARE))
+
+    def sort_by_urgency(
         self,
         waiting: Sequence[tuple[BatchRun, ItemRun]],
     ) -> list[tuple[BatchRun, ItemRun]]:
@@ -118,4 +133,6 @@
         """Tell when an item has to begin, or go on, to be whole in time."""
         model = batch.head.model
         estimate = run.item.length_estimate
-        return batch.due - self.predict(model, estimate, len(run.texts))
+        return batch.due - self.predict_remaining(
+            model, estimate, len(run.texts)
+        )
--- a/quetzalcourse/coordination/batches/item_run.py
+++ b/quetzalcourse/coordination/batches/item_run.py
@@ -15,8 +15,8 @@
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.state.batches import BatchItem, StreamEvent
 
-FIRST_RETRY = timedelta(milliseconds=50)
-MAX_RETRY = timedelta(milliseconds=800)
+MIN_RETRY_DELAY = timedelta(milliseconds=50)
+MAX_RETRY_DELAY = timedelta(milliseconds=800)
 MAX_DOUBLINGS = 4
 
 
@@ -50,7 +50,7 @@
     :param versions: weight versions that made the text, oldest first.
     :param last_event: number of the last event, ``None`` before the first.
     :param saved_event: last event of the text that was saved.
-    :param saved_whole: whether it was saved as whole.
+    :param saved_complete: whether it was saved as whole.
     :param migration_target: upstream where it is to go on, and where a slot
         is taken for it; ``None`` if it stays.
     """
@@ -66,7 +66,7 @@
     versions: list[int] = field(default_factory=list)
     last_event: int | None = None
     saved_event: int | None = None
-    saved_whole: bool = False
+    saved_complete: bool = False
     upstream: str = ''
     avoided: str = ''
     started_at: timedelta = timedelta(0)
@@ -115,12 +115,12 @@
         self.versions.clear()
         self.last_event = None
 
-    def save(self) -> PartialText | None:
+    def build_partial(self) -> PartialText | None:
         """Give the text so far, ``None`` if there is none."""
         if self.last_event is None or self.state is ItemState.finished:
             return None
         self.saved_event = self.last_event
-        self.saved_whole = self.text_complete
+        self.saved_complete = self.text_complete
         return PartialText(
             self.item.id,
             list(self.texts),
@@ -143,7 +143,7 @@
     def back_off(self, now: timedelta) -> None:
         """Wait before the next attempt, longer with each miss."""
         doublings = min(self.failed_calls, MAX_DOUBLINGS)
-        wait = min(FIRST_RETRY * 2**doublings, MAX_RETRY)
+        wait = min(MIN_RETRY_DELAY * 2**doublings, MAX_RETRY_DELAY)
         self.failed_calls += 1
         self.retry_at = now + wait
 
--- a/quetzalcourse/coordination/batches/migration.py
+++ b/quetzalcourse/coordination/batches/migration.py
@@ -29,44 +29,44 @@
 # Time that a migration must gain to be worth its connection and prompt.
 MIN_GAIN = timedelta(milliseconds=500)
 # Lower bound of the events that an item still has before it.
-MIN_EVENTS = 12
+MIN_REMAINING_EVENTS = 12
 # Slots that a migration leaves to waiting items.
 SPARE_SLOTS = 1
 
 
 def choose_migration_target(
-    here: Upstream,
-    others: Iterable[Upstream],
-    left: int,
+    current: Upstream,
+    candidates: Iterable[Upstream],
+    remaining_events: int,
     now: timedelta,
 ) -> Upstream | None:
     """Choose where an item should go on.
 
-    :param here: upstream where it runs.
-    :param others: upstreams that may run it, this one among them or not.
-    :param left: events that it is expected to have still before it.
+    :param current: upstream where it runs.
+    :param candidates: upstreams that may run it, this one among them or not.
+    :param remaining_events: events that it is expected to have still before it.
     :returns: ``None`` if it should stay.
     """
-    if not here.token_latency:
+    if not current.token_latency:
         return None
-    weighed = list(others)
-    usual = find_median_latency(weighed)
+    considered = list(candidates)
+    median = find_median_latency(considered)
     free = [
         one
-        for one in weighed
-        if one.name != here.name
+        for one in considered
+        if one.name != current.name
         and one.token_latency
         and not one.faults
         and one.count_load(now) + SPARE_SLOTS < one.member.slots
     ]
     best = min(
         free,
-        key=lambda one: (max(one.token_latency, usual), one.count_load(now)),
+        key=lambda one: (max(one.token_latency, median), one.count_load(now)),
         default=None,
     )
     if best is None:
         return None
-    events = max(left, MIN_EVENTS)
-    expected = max(best.token_latency, usual)
-    gain = timedelta(seconds=(here.token_latency - expected) * events)
+    events = max(remaining_events, MIN_REMAINING_EVENTS)
+    expected = max(best.token_latency, median)
+    gain = timedelta(seconds=(current.token_latency - expected) * events)
     return best if gain >= MIN_GAIN else None
--- a/quetzalcourse/coordination/batches/owner_watch.py
+++ b/quetzalcourse/coordination/batches/owner_watch.py
@@ -33,9 +33,9 @@
 # An owner's row changes each half second.
 WATCH_INTERVAL = timedelta(milliseconds=300)
 # As often as the rows of batches are read in a large deployment.
-IDLE = timedelta(seconds=1)
+IDLE_INTERVAL = timedelta(seconds=1)
 # Who watches follows from all live daemons, which change more slowly.
-CHOICE_TTL = timedelta(seconds=5)
+SELECTION_TTL = timedelta(seconds=5)
 
 
 class OwnerWatch:
@@ -60,21 +60,23 @@
         self._members = members
         self._clock = clock
         self._residency = residency
-        self._choices: dict[str, tuple[int, timedelta, bool]] = {}
+        self._selections: dict[str, tuple[int, timedelta, bool]] = {}
 
     async def run(self) -> None:
         """Watch owners until the task is cancelled."""
         while True:
             watched = self._find_owners()
             self._presence.watch(watched, WATCH_INTERVAL)
-            await asyncio.gather(*(self._look(vm) for vm in watched))
-            await self._clock.sleep(WATCH_INTERVAL if watched else IDLE)
+            await asyncio.gather(*(self._read_owner_row(vm) for vm in watched))
+            await self._clock.sleep(
+                WATCH_INTERVAL if watched else IDLE_INTERVAL
+            )
 
     def _find_owners(self) -> set[str]:
         """Find the VMs whose batches this daemon would take over."""
         known = self._directory.batches
-        for batch in self._choices.keys() - known.keys():
-            self._choices.pop(batch)
+        for batch in self._selections.keys() - known.keys():
+            self._selections.pop(batch)
         if self._presence.own.leaving:
             return set()
         return {
@@ -82,20 +84,20 @@
             for view in known.values()
             if view.open
             and view.owner is not None
-            and self._is_foreign(view.owner.vm)
-            and self._is_taker(view)
+            and self._is_remote(view.owner.vm)
+            and self._is_selected(view)
         }
 
-    def _is_foreign(self, vm: str) -> bool:
+    def _is_remote(self, vm: str) -> bool:
         return vm != self._presence.own.vm and vm in self._presence.records
 
-    def _is_taker(self, view: BatchView) -> bool:
+    def _is_selected(self, view: BatchView) -> bool:
         now = self._clock.elapsed()
-        version, chosen_at, chosen = self._choices.get(
+        version, selected_at, selected = self._selections.get(
             view.id, (-1, now, False)
         )
-        if version == view.owner_version and now - chosen_at < CHOICE_TTL:
-            return chosen
+        if version == view.owner_version and now - selected_at < SELECTION_TTL:
+            return selected
         owner = view.owner.incarnation if view.owner is not None else ''
         holders = self._residency.list_holders(
             view.head,
@@ -103,11 +105,11 @@
             self._presence.find_data_centre(view.owner),
         )
         ranked = rank_successors(view.id, owner, holders)
-        chosen = self._presence.own in ranked[:WATCHERS_PER_BATCH]
-        self._choices[view.id] = (view.owner_version, now, chosen)
-        return chosen
+        selected = self._presence.own in ranked[:WATCHERS_PER_BATCH]
+        self._selections[view.id] = (view.owner_version, now, selected)
+        return selected
 
-    async def _look(self, vm: str) -> None:
+    async def _read_owner_row(self, vm: str) -> None:
         answer = await self._table.read(self._presence.find_row(vm))
         if isinstance(answer, Err):
             # Its heartbeats may stand in the store all the same.
--- a/quetzalcourse/coordination/batches/placement.py
+++ b/quetzalcourse/coordination/batches/placement.py
@@ -71,36 +71,36 @@
         self._pool = pool
         self._allocator = allocator
         self._clock = clock
-        self._usual: dict[str, tuple[timedelta, float]] = {}
+        self._medians: dict[str, tuple[timedelta, float]] = {}
 
-    def choose(self, need: PlacementRequest) -> Upstream | None:
+    def choose(self, request: PlacementRequest) -> Upstream | None:
         """Choose the upstream for an item.
 
         :returns: ``None`` if no slot is free where it may run.
         """
         now = self._clock.elapsed()
-        usable = self.list_eligible(need)
+        usable = self.list_eligible(request)
         fit = [
             upstream
             for upstream in usable
             if upstream.count_load(now) < upstream.member.slots
             and self._pool.cold_starts.admits(upstream)
-            and self._allocator.is_available(upstream, need.latest_start)
+            and self._allocator.is_available(upstream, request.latest_start)
         ]
         if not fit:
             return None
         median = find_median_latency(usable)
-        return min(fit, key=lambda one: self._rank(one, need, now, median))
+        return min(fit, key=lambda one: self._rank(one, request, now, median))
 
-    def list_eligible(self, need: PlacementRequest) -> list[Upstream]:
+    def list_eligible(self, request: PlacementRequest) -> list[Upstream]:
         """List the upstreams that may run an item now."""
         now = self._clock.elapsed()
         return [
             upstream
-            for upstream in self._pool.sample_service(need.service)
-            if upstream.fits(need.model, need.min_version, now)
-            and upstream.is_allowed(need.allowed_regions)
-            and upstream.name not in need.excluded
+            for upstream in self._pool.sample_service(request.service)
+            if upstream.fits(request.model, request.min_version, now)
+            and upstream.is_allowed(request.allowed_regions)
+            and upstream.name not in request.excluded
         ]
 
     def is_slower_than_usual(self, upstream: Upstream) -> bool:
@@ -108,54 +108,55 @@
 
         It spares most items the weighing of all upstreams.
         """
-        return upstream.token_latency > self._find_usual_latency(
+        return upstream.token_latency > self._find_median_latency(
             upstream.member.service
         )
 
     def choose_migration_target(
         self,
-        need: PlacementRequest,
+        request: PlacementRequest,
         upstream: Upstream,
-        left: int,
+        remaining_events: int,
     ) -> Upstream | None:
         """Choose a faster upstream where a running item should go on.
 
         :param upstream: where it runs.
-        :param left: events that it is expected to have still before it.
+        :param remaining_events: events that it is expected to have still
+            before it.
         """
         now = self._clock.elapsed()
         free = [
             one
-            for one in self.list_eligible(need)
+            for one in self.list_eligible(request)
             if not self._pool.cold_starts.is_cold(one)
-            and self._allocator.is_available(one, need.latest_start)
+            and self._allocator.is_available(one, request.latest_start)
         ]
-        return choose_migration_target(upstream, free, left, now)
+        return choose_migration_target(upstream, free, remaining_events, now)
 
-    def _find_usual_latency(self, service: str) -> float:
+    def _find_median_latency(self, service: str) -> float:
         now = self._clock.elapsed()
-        found_at, usual = self._usual.get(service, (None, 0.0))
+        found_at, median = self._medians.get(service, (None, 0.0))
         if found_at is None or now - found_at >= MEDIAN_TTL:
-            usual = find_median_latency(self._pool.sample_service(service))
-            self._usual[service] = (now, usual)
-        return usual
+            median = find_median_latency(self._pool.sample_service(service))
+            self._medians[service] = (now, median)
+        return median
 
     def _rank(
         self,
         upstream: Upstream,
-        need: PlacementRequest,
+        request: PlacementRequest,
         now: timedelta,
         median: float,
     ) -> tuple[bool, int, int, float, int]:
         cold = self._pool.cold_starts.is_cold(upstream)
         return (
-            upstream.name == need.avoided,
+            upstream.name == request.avoided,
             2 * (upstream.faults > 0) + cold,
             rank_latency(upstream, median),
-            _share(upstream, now),
-            -upstream.find_version(need.model),
+            _compute_utilisation(upstream, now),
+            -upstream.find_version(request.model),
         )
 
 
-def _share(upstream: Upstream, now: timedelta) -> float:
+def _compute_utilisation(upstream: Upstream, now: timedelta) -> float:
     return upstream.count_load(now) / upstream.member.slots
--- a/quetzalcourse/coordination/batches/result_notifications.py
+++ b/quetzalcourse/coordination/batches/result_notifications.py
@@ -55,11 +55,11 @@
 class Subscriber:
     """Daemon at which a caller waits.
 
-    :param until: time since boot until which it does.
+    :param expires_at: time since boot until which it does.
     """
 
     member: Member
-    until: timedelta
+    expires_at: timedelta
 
 
 class ResultNotifications:
@@ -81,12 +81,12 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._waiters: dict[str, dict[str, Subscriber]] = {}
-        peers.subscribe(Topic.results_awaited, self.on_awaited)
-        peers.subscribe(Topic.results_stand, self.on_stand)
-        reader.on_wait(self.ask)
+        self._subscribers: dict[str, dict[str, Subscriber]] = {}
+        peers.subscribe(Topic.results_awaited, self.on_subscription)
+        peers.subscribe(Topic.results_stand, self.on_notification)
+        reader.on_wait(self.request_notifications)
 
-    def ask(self, batch: str, known: int) -> None:
+    def request_notifications(self, batch: str, known: int) -> None:
         """Ask the owner of a batch to tell of further results.
 
         :param known: how many this daemon has read.
@@ -102,19 +102,19 @@
             if member.vm == vm:
                 self._peers.send(member, Topic.results_awaited, content)
 
-    def on_awaited(self, sender: Member, content: bytes) -> None:
+    def on_subscription(self, sender: Member, content: bytes) -> None:
         """Note a daemon at which a caller waits, or answer it at once."""
-        awaited = msgspec.msgpack.decode(content, type=ResultsSubscription)
-        self._forget_old()
-        run = self._runner.batches.get(awaited.batch)
+        subscription = msgspec.msgpack.decode(content, type=ResultsSubscription)
+        self._expire_subscriptions()
+        run = self._runner.batches.get(subscription.batch)
         if run is None:
             return
-        if run.committed > awaited.known:
-            self._tell(sender, awaited.batch, run.committed)
+        if run.committed > subscription.known:
+            self._notify(sender, subscription.batch, run.committed)
             return
-        until = self._clock.elapsed() + SUBSCRIPTION_TTL
-        waiters = self._waiters.setdefault(awaited.batch, {})
-        waiters[sender.vm] = Subscriber(sender, until)
+        expires_at = self._clock.elapsed() + SUBSCRIPTION_TTL
+        subscribers = self._subscribers.setdefault(subscription.batch, {})
+        subscribers[sender.vm] = Subscriber(sender, expires_at)
 
     def on_committed(
         self,
@@ -123,23 +123,23 @@
         results: Sequence[ItemResult],
     ) -> None:
         """Tell those who wait that results stand."""
-        for waiter in self._waiters.pop(batch, {}).values():
-            self._tell(waiter.member, batch, position + len(results))
+        for subscriber in self._subscribers.pop(batch, {}).values():
+            self._notify(subscriber.member, batch, position + len(results))
 
-    def on_stand(self, _: Member, content: bytes) -> None:
+    def on_notification(self, _: Member, content: bytes) -> None:
         """Wake the callers who wait for a batch's results."""
-        stand = msgspec.msgpack.decode(content, type=ResultsCommitted)
-        self._reader.on_result_count(stand.batch, stand.listed)
+        notification = msgspec.msgpack.decode(content, type=ResultsCommitted)
+        self._reader.on_result_count(notification.batch, notification.listed)
 
-    def _tell(self, receiver: Member, batch: str, listed: int) -> None:
+    def _notify(self, receiver: Member, batch: str, listed: int) -> None:
         content = msgspec.msgpack.encode(ResultsCommitted(batch, listed))
         self._peers.send(receiver, Topic.results_stand, content)
 
-    def _forget_old(self) -> None:
+    def _expire_subscriptions(self) -> None:
         now = self._clock.elapsed()
-        for batch, waiters in list(self._waiters.items()):
-            for vm, waiter in list(waiters.items()):
-                if waiter.until < now:
-                    waiters.pop(vm)
-            if not waiters:
-                self._waiters.pop(batch)
+        for batch, subscribers in list(self._subscribers.items()):
+            for vm, subscriber in list(subscribers.items()):
+                if subscriber.expires_at < now:
+                    subscribers.pop(vm)
+            if not subscribers:
+                self._subscribers.pop(batch)
--- a/quetzalcourse/coordination/batches/result_reader.py
+++ b/quetzalcourse/coordination/batches/result_reader.py
@@ -27,8 +27,8 @@
 
 # Results that nobody read for so long are dropped from memory and read
 # again from the store when somebody asks.
-KEPT = timedelta(seconds=5)
-TICK = timedelta(seconds=1)
+CACHE_TTL = timedelta(seconds=5)
+EVICTION_INTERVAL = timedelta(seconds=1)
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     """
 
     results: list[ItemResult] = field(default_factory=list)
-    used: timedelta = timedelta(0)
+    last_used: timedelta = timedelta(0)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
@@ -60,15 +60,15 @@
         """Begin without results."""
         self._rows = rows
         self._clock = clock
-        self._shelves: dict[str, CachedResults] = {}
+        self._cache: dict[str, CachedResults] = {}
         self._listeners: list[WaitListener] = []
         directory.on_change(self.on_batch)
 
     def on_batch(self, view: BatchView) -> None:
         """Wake those who wait for results of a batch."""
-        shelf = self._shelves.get(view.id)
-        if shelf is not None and view.ended:
-            shelf.changed.set()
+        cached = self._cache.get(view.id)
+        if cached is not None and view.ended:
+            cached.changed.set()
         self.on_result_count(view.id, view.committed)
 
     def on_result_count(self, batch: str, listed: int) -> None:
@@ -76,9 +76,9 @@
 
         :param listed: at least as many stand in the store.
         """
-        shelf = self._shelves.get(batch)
-        if shelf is not None and listed > len(shelf.results):
-            shelf.changed.set()
+        cached = self._cache.get(batch)
+        if cached is not None and listed > len(cached.results):
+            cached.changed.set()
 
     def on_wait(self, listener: WaitListener) -> None:
         """Call a listener with each batch whose results are waited for.
@@ -94,10 +94,10 @@
         results: list[ItemResult],
     ) -> None:
         """Learn results that this daemon itself has just committed."""
-        shelf = self._open(batch)
-        if len(shelf.results) == position:
-            shelf.results.extend(results)
-        shelf.changed.set()
+        cached = self._get_cached(batch)
+        if len(cached.results) == position:
+            cached.results.extend(results)
+        cached.changed.set()
 
     async def read(
         self,
@@ -109,51 +109,51 @@
 
         :param wait: how long to wait for the first of them.
         """
-        shelf = self._open(batch)
-        if len(shelf.results) > position:
-            return Ok(shelf.results[position:])
-        shelf.changed.clear()
-        answer = await self._refresh(batch, shelf)
+        cached = self._get_cached(batch)
+        if len(cached.results) > position:
+            return Ok(cached.results[position:])
+        cached.changed.clear()
+        answer = await self._refresh(batch, cached)
         if isinstance(answer, Err):
             return answer
-        if len(shelf.results) <= position and wait > timedelta(0):
+        if len(cached.results) <= position and wait > timedelta(0):
             for listener in self._listeners:
-                listener(batch, len(shelf.results))
-            await wait_event(shelf.changed, wait)
-            answer = await self._refresh(batch, shelf)
+                listener(batch, len(cached.results))
+            await wait_event(cached.changed, wait)
+            answer = await self._refresh(batch, cached)
             if isinstance(answer, Err):
                 return answer
-        shelf.used = self._clock.elapsed()
-        return Ok(shelf.results[position:])
+        cached.last_used = self._clock.elapsed()
+        return Ok(cached.results[position:])
 
     async def run(self) -> None:
         """Drop what nobody reads, until the task is cancelled."""
         while True:
-            await self._clock.sleep(TICK)
-            oldest = self._clock.elapsed() - KEPT
+            await self._clock.sleep(EVICTION_INTERVAL)
+            oldest = self._clock.elapsed() - CACHE_TTL
             unused = [
                 batch
-                for batch, shelf in self._shelves.items()
-                if shelf.used < oldest and not shelf.lock.locked()
+                for batch, cached in self._cache.items()
+                if cached.last_used < oldest and not cached.lock.locked()
             ]
             for batch in unused:
-                self._shelves.pop(batch)
+                self._cache.pop(batch)
 
-    def _open(self, batch: str) -> CachedResults:
-        shelf = self._shelves.setdefault(batch, CachedResults())
-        shelf.used = self._clock.elapsed()
-        return shelf
+    def _get_cached(self, batch: str) -> CachedResults:
+        cached = self._cache.setdefault(batch, CachedResults())
+        cached.last_used = self._clock.elapsed()
+        return cached
 
     async def _refresh(
         self,
         batch: str,
-        shelf: CachedResults,
+        cached: CachedResults,
     ) -> Result[None, StoreFault]:
-        async with shelf.lock:
-            known = len(shelf.results)
+        async with cached.lock:
+            known = len(cached.results)
             answer = await self._rows.read_results(batch, known)
             if isinstance(answer, Err):
                 return answer
-            if len(shelf.results) == known:
-                shelf.results.extend(answer.ok_value)
+            if len(cached.results) == known:
+                cached.results.extend(answer.ok_value)
         return Ok(None)
--- a/quetzalcourse/coordination/batches/runner.py
+++ b/quetzalcourse/coordination/batches/runner.py
@@ -37,11 +37,11 @@
 
     SlotDemandListener = Callable[[Collection[SlotDemand]], None]
 
-TICK = timedelta(milliseconds=50)
+DISPATCH_INTERVAL = timedelta(milliseconds=50)
 # Interval at which the texts of long items are saved for a next owner.
 SAVE_INTERVAL = timedelta(milliseconds=350)
 # Without a batch there is nothing to look after; the next one wakes.
-IDLE = timedelta(seconds=1)
+IDLE_INTERVAL = timedelta(seconds=1)
 log = get_log('batches')
 
 
@@ -81,7 +81,7 @@
         """Begin without batches."""
         self._residency = residency
         self.batches: dict[str, BatchRun] = {}
-        self.reserved: set[str] = set()
+        self.accepting: set[str] = set()
         self.paused = False
         self._items = items
         self._scoring = scoring
@@ -90,7 +90,7 @@
         self._routes = residency.routes
         self._quarantine = quarantine
         self._clock = clock
-        self._lengths = DurationPredictor()
+        self._durations = DurationPredictor()
         self._writer = writer
         self._wake = asyncio.Event()
         self._tasks = Tasks('batches')
@@ -134,7 +134,7 @@
             log.warning('Batch is run here already.', batch=batch.head.id)
             return
         self.batches[batch.head.id] = batch
-        batch.committer = self._tasks.begin(self._commit(batch))
+        batch.commit_task = self._tasks.begin(self._commit(batch))
         self._wake.set()
         for listener in self._begin_listeners:
             listener()
@@ -172,19 +172,21 @@
             self._wake.clear()
             if not self.paused:
                 self._dispatch()
-            await wait_event(self._wake, TICK if self.batches else IDLE)
+            await wait_event(
+                self._wake, DISPATCH_INTERVAL if self.batches else IDLE_INTERVAL
+            )
 
     def _dispatch(self) -> None:
         now = self._clock.elapsed()
         waiting: list[tuple[BatchRun, ItemRun]] = []
         for batch in sorted(self.batches.values(), key=lambda one: one.due):
             if now >= batch.expires_at:
-                self._give_up(batch)
+                self._abandon(batch)
                 continue
-            self._save(batch, now)
+            self._save_partials(batch, now)
             for run in batch.items:
                 if run.state is ItemState.running:
-                    self._review(batch, run)
+                    self._consider_migration(batch, run)
                 elif run.retry_at > now:
                     continue
                 elif run.state is ItemState.waiting:
@@ -199,17 +201,21 @@
     ) -> None:
         # Where one found no slot, the next one with the same need finds none.
         full: dict[PlacementKey, SlotDemand] = {}
-        for batch, run in self._lengths.order(waiting):
+        for batch, run in self._durations.sort_by_urgency(waiting):
             if not self._quarantine.may_begin(run.fingerprint):
                 continue
-            need = self._find_need(batch, run)
-            if need is None:
+            request = self._build_request(batch, run)
+            if request is None:
                 self._on_missing_route(batch, run)
-            elif need.excluded:
+            elif request.excluded:
                 # It may have to wait where others find a slot.
-                self._begin(batch, run, need)
-            elif need.key not in full and not self._begin(batch, run, need):
-                full[need.key] = SlotDemand(need.key, need.latest_start)
+                self._begin(batch, run, request)
+            elif request.key not in full and not self._begin(
+                batch, run, request
+            ):
+                full[request.key] = SlotDemand(
+                    request.key, request.latest_start
+                )
         self._any_unplaced = bool(full)
         for listener in self._placed_listeners:
             listener(full.values())
@@ -220,20 +226,20 @@
         if self._routes.version >= batch.head.manifest_version:
             batch.finish(run, run.build_abandoned_result())
 
-    def _save(self, batch: BatchRun, now: timedelta) -> None:
+    def _save_partials(self, batch: BatchRun, now: timedelta) -> None:
         # An owner that dies takes the texts with it; of those that take
         # long, the next one goes on from what was saved.
         if now - batch.saved_at < SAVE_INTERVAL:
             return
-        partials = batch.save_long(now - SAVE_INTERVAL)
+        partials = batch.collect_changed_partials(now - SAVE_INTERVAL)
         if partials:
             batch.saved_at = now
-            self._tasks.begin(self._writer.save(batch, partials))
+            self._tasks.begin(self._writer.save_partials(batch, partials))
 
     def _begin(
-        self, batch: BatchRun, run: ItemRun, need: PlacementRequest
+        self, batch: BatchRun, run: ItemRun, request: PlacementRequest
     ) -> bool:
-        upstream = self._placement.choose(need)
+        upstream = self._placement.choose(request)
         if upstream is None:
             return False
         # Counted here and not by the task, which begins later: all items
@@ -250,7 +256,7 @@
         run.isolated = self._quarantine.on_start(run.fingerprint, upstream.name)
         run.task = self._tasks.begin(self._attempt(batch, run, upstream))
 
-    def _find_need(
+    def _build_request(
         self, batch: BatchRun, run: ItemRun
     ) -> PlacementRequest | None:
         route = self._routes.find(batch.head.route)
@@ -261,12 +267,12 @@
             batch.head.model,
             batch.head.min_version,
             run.avoided,
-            self._lengths.compute_latest_start(batch, run),
+            self._durations.compute_latest_start(batch, run),
             self._residency.find_batch_regions(batch.head),
             self._quarantine.list_avoided(run.fingerprint),
         )
 
-    def _review(self, batch: BatchRun, run: ItemRun) -> None:
+    def _consider_migration(self, batch: BatchRun, run: ItemRun) -> None:
         upstream = self._pool.find(run.upstream)
         if run.migration_target is not None or run.last_event is None:
             return
@@ -274,14 +280,16 @@
             upstream
         ):
             return
-        need = self._find_need(batch, run)
-        if need is None:
+        request = self._build_request(batch, run)
+        if request is None:
             return
-        left = self._lengths.predict_remaining_events(
+        remaining_events = self._durations.predict_remaining_events(
             batch.head.model, run.item.length_estimate, len(run.texts)
         )
-        target = self._placement.choose_migration_target(need, upstream, left)
-        if target is None or not _may_go_on(batch, run, target):
+        target = self._placement.choose_migration_target(
+            request, upstream, remaining_events
+        )
+        if target is None or not _allows_version(batch, run, target):
             return
         run.migration_target = target
         self._pool.on_start(target)
@@ -308,7 +316,7 @@
                 self._start(batch, run, target)
             return
         if result.state is ResultState.completed and not resumed:
-            self._lengths.learn(
+            self._durations.observe(
                 batch.head.model,
                 run.item.length_estimate,
                 len(run.texts),
@@ -345,7 +353,7 @@
         usable = usable and self._pool.cold_starts.admits(target)
         return target if known and usable else None
 
-    def _give_up(self, batch: BatchRun) -> None:
+    def _abandon(self, batch: BatchRun) -> None:
         for run in batch.items:
             if run.state is ItemState.finished:
                 continue
@@ -359,14 +367,14 @@
 
     def _end(self, batch: BatchRun, reason: str) -> None:
         # Another run may stand in its place by now, which goes on.
-        batch.committer = None
+        batch.commit_task = None
         if self.batches.get(batch.head.id) is batch:
             self.drop(batch.head.id, reason)
         else:
             batch.stop()
 
 
-def _may_go_on(batch: BatchRun, run: ItemRun, upstream: Upstream) -> bool:
+def _allows_version(batch: BatchRun, run: ItemRun, upstream: Upstream) -> bool:
     """Tell whether a text keeps to one weight version where it must."""
     held = upstream.find_version(batch.head.model)
     return not batch.head.single_version or run.versions[-1:] == [held]
--- a/quetzalcourse/coordination/batches/scoring.py
+++ b/quetzalcourse/coordination/batches/scoring.py
@@ -42,9 +42,9 @@
     from quetzalcourse.state.routing import Route
 
 # Share of an upstream's slots for scoring calls; the rest is for humans.
-SCORING_SHARE = 2 / 3
+MAX_SCORING_SHARE = 2 / 3
 # Timeout of a scoring call until answers on its route are known.
-DEFAULT_TIMEOUT = timedelta(milliseconds=500)
+DEFAULT_SCORING_TIMEOUT = timedelta(milliseconds=500)
 log = get_log('scoring')
 
 
@@ -131,7 +131,7 @@
         except RefusedError as error:
             # The route may come back with the next manifest; until then
             # nothing says that the text has no score.
-            self._miss(batch, run, '', error.refusal.code.value)
+            self._record_failure(batch, run, '', error.refusal.code.value)
             return
         service = choose_service(route, call.id)
         allowed = self._residency.find_allowed(route, batch.head.client_account)
@@ -176,7 +176,7 @@
         finally:
             self._release(run, upstream)
         took = self._clock.elapsed() - began
-        self._note(route, outcome, took)
+        self._record_outcome(route, outcome, took)
         if outcome.state in ANSWERED:
             self._quarantine.on_answer(run.scoring_fingerprint, upstream.run)
         if outcome.state is ScoringState.scored:
@@ -191,11 +191,11 @@
             batch.finish(run, run.build_completed_result(outcome.score))
             return
         run.avoided = upstream.name
-        self._miss(batch, run, upstream.name, outcome.reason)
+        self._record_failure(batch, run, upstream.name, outcome.reason)
         if outcome.state is ScoringState.failed:
-            self._fail(batch, run, route)
+            self._count_failed_score(batch, run, route)
 
-    def _note(
+    def _record_outcome(
         self,
         route: Route,
         outcome: ScoringOutcome,
@@ -219,10 +219,12 @@
             run.state = ItemState.unscored
         self._on_end()
 
-    def _fail(self, batch: BatchRun, run: ItemRun, route: Route) -> None:
+    def _count_failed_score(
+        self, batch: BatchRun, run: ItemRun, route: Route
+    ) -> None:
         run.scoring_failures += 1
-        most = max(route.max_attempts, batch.head.max_attempts)
-        if run.scoring_failures >= most:
+        limit = max(route.max_attempts, batch.head.max_attempts)
+        if run.scoring_failures >= limit:
             log.warning(
                 'Item is given up, its scoring fails.',
                 batch=batch.head.id,
@@ -231,7 +233,7 @@
             )
             batch.finish(run, run.build_abandoned_result())
 
-    def _miss(
+    def _record_failure(
         self,
         batch: BatchRun,
         run: ItemRun,
@@ -264,7 +266,7 @@
     """
     able = [one for one in upstreams if one.accepts_work]
     usable = [one for one in able if one.is_open(now)] or able
-    fit = [one for one in usable if has_room(one, now)]
+    fit = [one for one in usable if has_capacity(one, now)]
     return min(
         fit,
         key=lambda one: (
@@ -277,11 +279,11 @@
     )
 
 
-def has_room(upstream: Upstream, now: timedelta) -> bool:
+def has_capacity(upstream: Upstream, now: timedelta) -> bool:
     """Tell whether an upstream takes a scoring call beside humans."""
-    most = max(int(upstream.member.slots * SCORING_SHARE), 1)
+    limit = max(int(upstream.member.slots * MAX_SCORING_SHARE), 1)
     refusing = upstream.unavailable_until.get('', timedelta(0)) > now
-    return upstream.count_load(now) < most and not refusing
+    return upstream.count_load(now) < limit and not refusing
 
 
 def compute_timeout(
@@ -291,7 +293,7 @@
 
     :param failed_calls: calls before it that brought no score.
     """
-    longest = route.target_latency or DEFAULT_TIMEOUT
+    longest = route.target_latency or DEFAULT_SCORING_TIMEOUT
     first = timeouts.find_wait(route.name, longest)
     # A text that waits for minutes has hundreds of misses behind it; so many
     # doublings of a duration are none any more, and would end its calls.
--- a/quetzalcourse/coordination/batches/slot_allocation.py
+++ b/quetzalcourse/coordination/batches/slot_allocation.py
@@ -77,12 +77,12 @@
 
     :param taken: items that this coordinator has there.
     :param since: since when it has had as many while a slot was free.
-    :param seen: when that was last found so.
+    :param checked_at: when that was last found so.
     """
 
     taken: int
     since: timedelta
-    seen: timedelta
+    checked_at: timedelta
 
 
 @dataclass(slots=True)
@@ -93,9 +93,9 @@
     """
 
     member: Member
-    heard: timedelta
+    updated_at: timedelta
     taken: dict[str, int] = field(default_factory=dict)
-    waiting: tuple[SlotDemand, ...] = ()
+    demands: tuple[SlotDemand, ...] = ()
 
 
 class SlotAllocator:
@@ -110,16 +110,16 @@
         self._pool = pool
         self._clock = clock
         self._coordinators: dict[str, PeerCoordinator] = {}
-        self._firsts: dict[str, str] = {}
-        self._firsts_of: set[str] = set()
-        self._settled_at = timedelta(0)
-        self._joined_at: timedelta | None = None
-        self._began_at = timedelta(0)
+        self._preferred: dict[str, str] = {}
+        self._preferred_among: set[str] = set()
+        self._updates_due_at = timedelta(0)
+        self._active_since: timedelta | None = None
+        self._last_batch_at = timedelta(0)
         self._reservations: dict[str, SlotReservation] = {}
 
     def list_others(self) -> list[Member]:
         """List the other daemons that ran batches lately."""
-        self._forget_old()
+        self._expire_coordinators()
         return [
             coordinator.member for coordinator in self._coordinators.values()
         ]
@@ -127,18 +127,21 @@
     def on_batch_start(self) -> None:
         """Learn that a batch begins here."""
         now = self._clock.elapsed()
-        if self._joined_at is None or now - self._began_at > COORDINATOR_TTL:
-            self._joined_at = now
-        self._began_at = now
-        self._settled_at = now + INITIAL_UPDATE_WAIT
+        if (
+            self._active_since is None
+            or now - self._last_batch_at > COORDINATOR_TTL
+        ):
+            self._active_since = now
+        self._last_batch_at = now
+        self._updates_due_at = now + INITIAL_UPDATE_WAIT
 
     def on_update(
         self,
         sender: Member,
         taken: Mapping[str, int],
-        waiting: Collection[SlotDemand],
+        demands: Collection[SlotDemand],
         *,
-        whole: bool,
+        full: bool,
     ) -> None:
         """Take what another coordinator tells.
 
@@ -153,15 +156,15 @@
             coordinator = PeerCoordinator(sender, now)
             self._coordinators[sender.vm] = coordinator
             log.info('Another coordinator shares upstreams.', peer=sender.vm)
-        coordinator.heard = now
-        coordinator.waiting = tuple(waiting)
+        coordinator.updated_at = now
+        coordinator.demands = tuple(demands)
         before = set(coordinator.taken)
-        if whole:
+        if full:
             coordinator.taken = {}
         coordinator.taken |= taken
-        self._forget_old()
+        self._expire_coordinators()
         for name in before | coordinator.taken.keys():
-            self._count(name, now)
+            self._update_taken(name, now)
 
     def is_available(self, upstream: Upstream, latest_start: timedelta) -> bool:
         """Tell whether a free slot of an upstream may be taken here.
@@ -171,15 +174,17 @@
         if not self._coordinators:
             return True
         now = self._clock.elapsed()
-        first = self._find_first(upstream.name)
-        if first == self._members.own.vm:
-            mine = latest_start
-        elif now < self._settled_at:
+        preferred = self._find_preferred(upstream.name)
+        if preferred == self._members.own.vm:
+            own_start = latest_start
+        elif now < self._updates_due_at:
             return False
         else:
-            mine = latest_start + PREFERENCE_MARGIN
+            own_start = latest_start + PREFERENCE_MARGIN
         return not any(
-            self._goes_before(vm, coordinator, upstream, mine, first, now)
+            self._has_priority(
+                vm, coordinator, upstream, own_start, preferred, now
+            )
             for vm, coordinator in self._coordinators.items()
         )
 
@@ -190,33 +195,39 @@
         others does not.
         """
         now = self._clock.elapsed()
-        if self._joined_at is None or now - self._began_at > COORDINATOR_TTL:
+        if (
+            self._active_since is None
+            or now - self._last_batch_at > COORDINATOR_TTL
+        ):
             return False
-        if now - self._joined_at < UPDATE_TTL:
+        if now - self._active_since < UPDATE_TTL:
             return False
-        self._forget_old()
-        return self._find_first(upstream.name) == self._members.own.vm
+        self._expire_coordinators()
+        return self._find_preferred(upstream.name) == self._members.own.vm
 
-    def _goes_before(
+    def _has_priority(
         self,
         vm: str,
         coordinator: PeerCoordinator,
         upstream: Upstream,
-        mine: timedelta,
-        first: str,
+        own_start: timedelta,
+        preferred: str,
         now: timedelta,
     ) -> bool:
         """Tell whether another coordinator's items go first."""
-        if now - coordinator.heard > UPDATE_TTL:
+        if now - coordinator.updated_at > UPDATE_TTL:
             return False
-        margin = timedelta(0) if vm == first else PREFERENCE_MARGIN
+        margin = timedelta(0) if vm == preferred else PREFERENCE_MARGIN
         wanted = any(
-            one.latest_start + margin < mine and _fits(upstream, one.key, now)
-            for one in coordinator.waiting
+            one.latest_start + margin < own_start
+            and _fits(upstream, one.key, now)
+            for one in coordinator.demands
+        )
+        return wanted and not self._is_reservation_expired(
+            upstream.name, coordinator, now
         )
-        return wanted and not self._is_left(upstream.name, coordinator, now)
 
-    def _is_left(
+    def _is_reservation_expired(
         self, name: str, coordinator: PeerCoordinator, now: timedelta
     ) -> bool:
         """Tell whether the first coordinator left a free slot alone."""
@@ -225,31 +236,31 @@
         if (
             reservation is None
             or reservation.taken != taken
-            or now - reservation.seen > MAX_RESERVATION_CHECK_GAP
+            or now - reservation.checked_at > MAX_RESERVATION_CHECK_GAP
         ):
             reservation = SlotReservation(taken, now, now)
             self._reservations[name] = reservation
-        reservation.seen = now
+        reservation.checked_at = now
         return now - reservation.since >= RESERVATION_TTL
 
-    def _count(self, name: str, now: timedelta) -> None:
+    def _update_taken(self, name: str, now: timedelta) -> None:
         upstream = self._pool.find(name)
         if upstream is None:
             return
         upstream.taken = sum(
             coordinator.taken.get(name, 0)
             for coordinator in self._coordinators.values()
-            if now - coordinator.heard <= UPDATE_TTL
+            if now - coordinator.updated_at <= UPDATE_TTL
         )
         upstream.taken_until = now + UPDATE_TTL
 
-    def _find_first(self, name: str) -> str:
+    def _find_preferred(self, name: str) -> str:
         """Find the VM of the coordinator that goes first at an upstream."""
-        if self._coordinators.keys() != self._firsts_of:
-            self._firsts_of = set(self._coordinators)
-            self._firsts.clear()
+        if self._coordinators.keys() != self._preferred_among:
+            self._preferred_among = set(self._coordinators)
+            self._preferred.clear()
             self._reservations.clear()
-        if name not in self._firsts:
+        if name not in self._preferred:
             own = self._members.own
             coordinators = [
                 own,
@@ -258,14 +269,16 @@
                     for coordinator in self._coordinators.values()
                 ),
             ]
-            first = find_owner(name, coordinators)
-            self._firsts[name] = first.vm if first is not None else own.vm
-        return self._firsts[name]
+            preferred = find_owner(name, coordinators)
+            self._preferred[name] = (
+                preferred.vm if preferred is not None else own.vm
+            )
+        return self._preferred[name]
 
-    def _forget_old(self) -> None:
+    def _expire_coordinators(self) -> None:
         oldest = self._clock.elapsed() - COORDINATOR_TTL
         for vm, coordinator in list(self._coordinators.items()):
-            if coordinator.heard < oldest:
+            if coordinator.updated_at < oldest:
                 self._coordinators.pop(vm)
 
 
--- a/quetzalcourse/coordination/batches/slot_usage_updates.py
+++ b/quetzalcourse/coordination/batches/slot_usage_updates.py
@@ -46,7 +46,7 @@
     """What the sender took of the upstreams, and what waits there.
 
     :param taken: its running items at each upstream.
-    :param whole: whether upstreams that are not named have none.
+    :param full: whether upstreams that are not named have none.
     """
 
     taken: dict[str, int]
@@ -75,11 +75,11 @@
         self._coordinators = coordinators
         self._peers = peers
         self._clock = clock
-        self._told: dict[str, int] = {}
-        self._told_waiting: frozenset[SlotDemand] = frozenset()
-        self._told_at = timedelta(0)
-        self._whole_at = timedelta(0)
-        self._beginning = False
+        self._sent_taken: dict[str, int] = {}
+        self._sent_demands: frozenset[SlotDemand] = frozenset()
+        self._sent_at = timedelta(0)
+        self._full_sent_at = timedelta(0)
+        self._batch_started = False
         self._listeners: list[Callable[[], None]] = []
         peers.subscribe(Topic.slots_told, self.on_message)
 
@@ -89,19 +89,19 @@
 
     def on_batch_start(self) -> None:
         """Learn that a batch begins here."""
-        self._beginning = True
+        self._batch_started = True
         self._allocator.on_batch_start()
 
     def on_message(self, sender: Member, content: bytes) -> None:
         """Take what another coordinator tells."""
         update = msgspec.msgpack.decode(content, type=SlotUsageUpdate)
         now = self._clock.elapsed()
-        waiting = [
+        demands = [
             SlotDemand(one.key, now + timedelta(seconds=one.seconds))
             for one in update.wants
         ]
         self._allocator.on_update(
-            sender, update.taken, waiting, whole=update.whole
+            sender, update.taken, demands, full=update.whole
         )
         for listener in self._listeners:
             listener()
@@ -113,51 +113,54 @@
         """
         now = self._clock.elapsed()
         taken = self._pool.count_running()
-        waiting = frozenset(unplaced)
-        if not self._is_due(taken, waiting, now):
+        demands = frozenset(unplaced)
+        if not self._is_due(taken, demands, now):
             return
-        whole = self._beginning or now - self._whole_at >= FULL_UPDATE_INTERVAL
+        full = (
+            self._batch_started
+            or now - self._full_sent_at >= FULL_UPDATE_INTERVAL
+        )
         update = SlotUsageUpdate(
-            taken if whole else self._find_changes(taken),
-            [_tell_waiting(one, now) for one in waiting],
-            whole,
+            taken if full else self._find_changes(taken),
+            [_build_demand_update(one, now) for one in demands],
+            full,
         )
         content = msgspec.msgpack.encode(update)
         for receiver in self._list_receivers():
             self._peers.send(receiver, Topic.slots_told, content)
-        self._beginning = False
-        self._told = taken
-        self._told_waiting = waiting
-        self._told_at = now
-        if whole:
-            self._whole_at = now
+        self._batch_started = False
+        self._sent_taken = taken
+        self._sent_demands = demands
+        self._sent_at = now
+        if full:
+            self._full_sent_at = now
 
     def _is_due(
         self,
         taken: dict[str, int],
-        waiting: frozenset[SlotDemand],
+        demands: frozenset[SlotDemand],
         now: timedelta,
     ) -> bool:
-        if self._beginning:
+        if self._batch_started:
             return True
-        if now - self._told_at < UPDATE_INTERVAL:
+        if now - self._sent_at < UPDATE_INTERVAL:
             return False
-        if taken != self._told or waiting != self._told_waiting:
+        if taken != self._sent_taken or demands != self._sent_demands:
             return True
-        idle = not taken and not waiting
-        return not idle and now - self._whole_at >= FULL_UPDATE_INTERVAL
+        idle = not taken and not demands
+        return not idle and now - self._full_sent_at >= FULL_UPDATE_INTERVAL
 
     def _find_changes(self, taken: dict[str, int]) -> dict[str, int]:
-        names = taken.keys() | self._told.keys()
+        names = taken.keys() | self._sent_taken.keys()
         return {
             name: taken.get(name, 0)
             for name in names
-            if taken.get(name, 0) != self._told.get(name, 0)
+            if taken.get(name, 0) != self._sent_taken.get(name, 0)
         }
 
     def _list_receivers(self) -> list[Member]:
         known = self._allocator.list_others()
-        if not self._beginning:
+        if not self._batch_started:
             return known
         by_vm = {
             one.vm: one for one in (*self._coordinators.list_others(), *known)
@@ -165,6 +168,8 @@
         return list(by_vm.values())
 
 
-def _tell_waiting(waiting: SlotDemand, now: timedelta) -> SlotDemandUpdate:
-    seconds = (waiting.latest_start - now).total_seconds()
-    return SlotDemandUpdate(waiting.key, round(seconds, 3))
+def _build_demand_update(
+    demand: SlotDemand, now: timedelta
+) -> SlotDemandUpdate:
+    seconds = (demand.latest_start - now).total_seconds()
+    return SlotDemandUpdate(demand.key, round(seconds, 3))
--- a/quetzalcourse/coordination/batches/token_latencies.py
+++ b/quetzalcourse/coordination/batches/token_latencies.py
@@ -14,9 +14,9 @@
 # Latency against the median above which an upstream is slow.
 SLOW_FACTOR = 1.8
 # Latency against the median above which an upstream is filled late.
-SLOWER_FACTOR = 1.12
+SLIGHTLY_SLOW_FACTOR = 1.12
 # A longer gap is a load of weights; the first one of a stream is left out.
-PAUSE = timedelta(milliseconds=400)
+WEIGHT_LOAD_GAP = timedelta(milliseconds=400)
 
 
 @dataclass(slots=True)
@@ -25,11 +25,11 @@
 
     :param last_at: when the last events came, ``None`` before the first;
         the time to those is that of the prompt and the queue.
-    :param paused: whether one long gap has been left out already.
+    :param gap_skipped: whether one long gap has been left out already.
     """
 
     last_at: timedelta | None = None
-    paused: bool = False
+    gap_skipped: bool = False
 
     def read(self, now: timedelta, events: int) -> float | None:
         """Read the time between two events.
@@ -44,8 +44,8 @@
         if last_at is None:
             return None
         gap = now - last_at
-        if gap > PAUSE and not self.paused:
-            self.paused = True
+        if gap > WEIGHT_LOAD_GAP and not self.gap_skipped:
+            self.gap_skipped = True
             return None
         return gap.total_seconds() / events
 
@@ -62,5 +62,5 @@
     """Rank an upstream by its latency: 0 usual, 1 slower, 2 far slower."""
     if not median:
         return 0
-    bounds = (SLOWER_FACTOR, SLOW_FACTOR)
+    bounds = (SLIGHTLY_SLOW_FACTOR, SLOW_FACTOR)
     return sum(upstream.token_latency > median * bound for bound in bounds)
--- a/quetzalcourse/coordination/duties/usage_windows.py
+++ b/quetzalcourse/coordination/duties/usage_windows.py
@@ -25,13 +25,13 @@
 
 # Windows that a daemon keeps counts of; the oldest of them was reported
 # long ago, or is too late to be of use.
-WINDOWS_KEPT = 5
+MAX_WINDOWS = 5
 # Counts are told within a quarter of a second of the request, and a slow
 # write takes another third.
-SETTLE = timedelta(seconds=1.5)
-TICK = timedelta(milliseconds=250)
+SETTLE_TIME = timedelta(seconds=1.5)
+REPORT_INTERVAL = timedelta(milliseconds=250)
 # Reports that are older than due by this much are given up.
-LATEST = timedelta(seconds=30)
+MAX_REPORT_DELAY = timedelta(seconds=30)
 log = get_log('usage')
 
 
@@ -76,7 +76,7 @@
         self._on_count = on_count
         self._windows: dict[int, Counter[str]] = {}
 
-    def find_window(self) -> int:
+    def find_current_window(self) -> int:
         """Tell the number of the window that is open now."""
         return (self._clock.now() - EPOCH) // self._length
 
@@ -84,9 +84,9 @@
         """Count a request that an upstream ran."""
         if not client_account:
             return
-        window = self.find_window()
+        window = self.find_current_window()
         self._windows.setdefault(window, Counter())[client_account] += 1
-        while len(self._windows) > WINDOWS_KEPT:
+        while len(self._windows) > MAX_WINDOWS:
             self._windows.pop(min(self._windows))
         self._on_count()
 
@@ -98,7 +98,7 @@
 
     def describe(self) -> dict[str, dict[str, int]]:
         """Give the counts for the daemon's row."""
-        oldest = self.find_window() - WINDOWS_KEPT
+        oldest = self.find_current_window() - MAX_WINDOWS
         return {
             str(window): dict(counts)
             for window, counts in self._windows.items()
@@ -137,20 +137,20 @@
         self._sent: set[int] = set()
         # Windows that ended before this run began may still be unreported:
         # whoever held the duty then may be gone.
-        self._first = (clock.now() - EPOCH - due) // length
+        self._first_window = (clock.now() - EPOCH - due) // length
 
     async def run(self) -> None:
         """Report windows until the task is cancelled."""
         while True:
-            await self._clock.sleep(TICK)
+            await self._clock.sleep(REPORT_INTERVAL)
             if self._lease.may_send:
                 await self._report_ended()
 
     async def _report_ended(self) -> None:
         now = self._clock.now() - EPOCH
-        newest = (now - SETTLE) // self._length - 1
-        oldest = (now - self._due - LATEST) // self._length
-        for window in range(max(oldest, self._first), newest + 1):
+        newest = (now - SETTLE_TIME) // self._length - 1
+        oldest = (now - self._due - MAX_REPORT_DELAY) // self._length
+        for window in range(max(oldest, self._first_window), newest + 1):
             if window not in self._sent and self._lease.may_send:
                 await self._report(window)
         self._sent = {window for window in self._sent if window >= oldest}
--- a/quetzalcourse/coordination/versions/load_controller.py
+++ b/quetzalcourse/coordination/versions/load_controller.py
@@ -27,15 +27,15 @@
 
 # Named versions and ended loads wake at once; this is for upstreams that
 # come and go, and for a lease that was just taken.
-TICK = timedelta(milliseconds=250)
+PLAN_INTERVAL = timedelta(milliseconds=250)
 # Hundreds of daemons never hold the lease; whoever takes it is woken.
-IDLE = timedelta(seconds=2)
+IDLE_INTERVAL = timedelta(seconds=2)
 # Each load that ends asks for a new plan of all upstreams; a pause that grows
 # with them keeps plans from taking the time of everything else.
-PLAN_GAP_EACH = timedelta(microseconds=100)
+PLAN_DELAY_PER_UPSTREAM = timedelta(microseconds=100)
 # A load takes 0.9 s; asking sooner costs a probe and tells nothing.
-LOAD_TIME = timedelta(milliseconds=850)
-POLL = timedelta(milliseconds=200)
+LOAD_DURATION = timedelta(milliseconds=850)
+POLL_INTERVAL = timedelta(milliseconds=200)
 # A load that is not over by then was refused, or its order never arrived.
 LOAD_TIMEOUT = timedelta(seconds=4)
 # An upstream whose order failed is left alone for as long, so that others
@@ -134,10 +134,10 @@
         self._counters = counters
         self._holder = holder
         self._tasks = Tasks('loads')
-        self._models: dict[str, str] = {}
-        self._rests: dict[str, timedelta] = {}
+        self._loading: dict[str, str] = {}
+        self._backoff_until: dict[str, timedelta] = {}
         self._sequences: dict[tuple[str, int], int] = {}
-        self._planned = 0
+        self._planned_upstreams = 0
         self._wake = asyncio.Event()
         self._listeners: list[LoadListener] = []
 
@@ -162,11 +162,15 @@
             self._wake.clear()
             if self._lease.may_send:
                 self._plan()
-            await self._clock.sleep(PLAN_GAP_EACH * self._planned)
-            await wait_event(self._wake, TICK if self._lease.held else IDLE)
+            await self._clock.sleep(
+                PLAN_DELAY_PER_UPSTREAM * self._planned_upstreams
+            )
+            await wait_event(
+                self._wake, PLAN_INTERVAL if self._lease.held else IDLE_INTERVAL
+            )
 
     def _plan(self) -> None:
-        self._planned = 0
+        self._planned_upstreams = 0
         manifest = self._routes.manifest
         if manifest is None:
             return
@@ -185,25 +189,25 @@
             UpstreamVersions(
                 upstream.name,
                 {model: upstream.find_version(model) for model in named},
-                self._models.get(upstream.name, ''),
+                self._loading.get(upstream.name, ''),
             )
             for upstream in self._pool.list_service(service.name)
             if upstream.is_open(now)
-            and self._rests.get(upstream.name, now) <= now
+            and self._backoff_until.get(upstream.name, now) <= now
         ]
-        self._planned += len(views)
+        self._planned_upstreams += len(views)
         loads = plan_loads(views, named)
         if loads:
             for listener in self._listeners:
-                listener.on_loads_started(loads, LOAD_TIME + POLL)
+                listener.on_loads_started(loads, LOAD_DURATION + POLL_INTERVAL)
         for load in loads:
-            self._begin(load, service)
+            self._start_load(load, service)
 
-    def _begin(self, load: WeightLoad, service: Service) -> None:
+    def _start_load(self, load: WeightLoad, service: Service) -> None:
         upstream = self._pool.find(load.upstream)
         if upstream is None:
             return
-        self._models[load.upstream] = load.model
+        self._loading[load.upstream] = load.model
         self._tasks.begin(self._load(load, upstream, service))
 
     async def _load(
@@ -215,13 +219,13 @@
         try:
             done = await self._try_load(load, upstream, service)
         finally:
-            self._models.pop(load.upstream, None)
+            self._loading.pop(load.upstream, None)
             self._wake.set()
         if done:
             for listener in self._listeners:
                 listener.on_load_done(load)
         else:
-            self._rests[load.upstream] = (
+            self._backoff_until[load.upstream] = (
                 self._clock.elapsed() + FAILED_ORDER_BACKOFF
             )
 
@@ -239,7 +243,7 @@
             sequence,
             self._holder,
             self._lease.token,
-            not self._is_pure(service),
+            not self._requires_single_version(service),
         )
         outcome = await self._control.order(upstream, order)
         self._counters.add('load_orders', outcome=outcome.value)
@@ -257,7 +261,7 @@
             return True
         if outcome is OrderOutcome.accepted:
             self._sequences[upstream.run] = order.sequence + 1
-            await self._clock.sleep(LOAD_TIME)
+            await self._clock.sleep(LOAD_DURATION)
         elif outcome not in (OrderOutcome.unanswered, OrderOutcome.conflict):
             return False
         return await self._await_version(load, upstream)
@@ -265,8 +269,8 @@
     async def _await_version(
         self, load: WeightLoad, upstream: Upstream
     ) -> bool:
-        ends = self._clock.elapsed() + LOAD_TIMEOUT - LOAD_TIME
-        while self._clock.elapsed() < ends:
+        deadline = self._clock.elapsed() + LOAD_TIMEOUT - LOAD_DURATION
+        while self._clock.elapsed() < deadline:
             if upstream.find_version(load.model) >= load.version:
                 return True
             report = await self._control.report(upstream)
@@ -279,7 +283,7 @@
                     return True
                 if not report.busy:
                     return False
-            await self._clock.sleep(POLL)
+            await self._clock.sleep(POLL_INTERVAL)
         return False
 
     async def _find_sequence(self, upstream: Upstream) -> int | None:
@@ -292,7 +296,7 @@
         self._sequences[upstream.run] = report.sequence
         return report.sequence
 
-    def _is_pure(self, service: Service) -> bool:
+    def _requires_single_version(self, service: Service) -> bool:
         """Tell whether a route forbids to mix versions in one answer."""
         manifest = self._routes.manifest
         routes = manifest.routes if manifest else ()
--- a/quetzalcourse/coordination/versions/load_plan.py
+++ b/quetzalcourse/coordination/versions/load_plan.py
@@ -22,7 +22,7 @@
 
 # Loads slow each other down when more than two fifths of a service's
 # upstreams load at once: 2 of 5 or 6, 9 of 23 by the users' sheets.
-LOADING_SHARE = 0.4
+MAX_LOADING_SHARE = 0.4
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,16 +58,18 @@
     """
     busy = {view.name for view in upstreams if view.loading}
     uses = {view.name: count_usable_models(view, named) for view in upstreams}
-    at_once = max(int(len(upstreams) * LOADING_SHARE), 1)
+    max_loading = max(int(len(upstreams) * MAX_LOADING_SHARE), 1)
     loads: list[WeightLoad] = []
-    share = -(-len(upstreams) // max(len(named), 1))
-    by_need = sorted(
-        named, key=lambda model: _count_fit(upstreams, model, named[model])
+    target_count = -(-len(upstreams) // max(len(named), 1))
+    by_shortage = sorted(
+        named, key=lambda model: _count_serving(upstreams, model, named[model])
     )
-    for model in by_need:
-        wanted = _list_wanted(upstreams, model, named[model], share, busy, uses)
-        for name in wanted:
-            if len(busy) < at_once and name not in busy:
+    for model in by_shortage:
+        targets = _list_targets(
+            upstreams, model, named[model], target_count, busy, uses
+        )
+        for name in targets:
+            if len(busy) < max_loading and name not in busy:
                 busy.add(name)
                 uses[name] += 1
                 loads.append(WeightLoad(name, model, named[model]))
@@ -79,44 +81,44 @@
 ) -> int:
     """Count the models whose newest step an upstream may run."""
     return sum(
-        _has(view, model, version - 1) for model, version in named.items()
+        _holds(view, model, version - 1) for model, version in named.items()
     )
 
 
-def _list_wanted(
+def _list_targets(
     upstreams: Sequence[UpstreamVersions],
     model: str,
     version: int,
-    share: int,
+    target_count: int,
     busy: AbstractSet[str],
     uses: Mapping[str, int],
 ) -> list[str]:
     """List the upstreams that should load a version, first those far behind.
 
-    :param share: how many upstreams should hold it.
+    :param target_count: how many upstreams should hold it.
     :param busy: upstreams that load already; waiting for one of them while
         others are free would leave loads unused.
     :param uses: models whose newest step each upstream may run.
     """
-    behind = [view for view in upstreams if not _has(view, model, version)]
+    behind = [view for view in upstreams if not _holds(view, model, version)]
     current = len(upstreams) - len(behind)
     behind.sort(
         key=lambda view: (
             view.name in busy,
-            _has(view, model, version - 1),
+            _holds(view, model, version - 1),
             uses[view.name],
             view.versions.get(model, 0),
         )
     )
-    return [view.name for view in behind[: max(share - current, 0)]]
+    return [view.name for view in behind[: max(target_count - current, 0)]]
 
 
-def _has(view: UpstreamVersions, model: str, version: int) -> bool:
+def _holds(view: UpstreamVersions, model: str, version: int) -> bool:
     """Tell whether an upstream has a version or is loading it."""
     return view.versions.get(model, 0) >= version or view.loading == model
 
 
-def _count_fit(
+def _count_serving(
     upstreams: Sequence[UpstreamVersions],
     model: str,
     version: int,
--- a/quetzalcourse/coordination/versions/load_updates.py
+++ b/quetzalcourse/coordination/versions/load_updates.py
@@ -56,23 +56,23 @@
 
         :param duration: how long they are expected to take.
         """
-        self._tell(LoadsUpdate(loads, duration.total_seconds()))
+        self._broadcast(LoadsUpdate(loads, duration.total_seconds()))
 
     def on_load_done(self, load: WeightLoad) -> None:
         """Tell that an upstream holds a version."""
-        self._tell(LoadsUpdate([load], 0))
+        self._broadcast(LoadsUpdate([load], 0))
 
     def on_message(self, _: Member, content: bytes) -> None:
         """Take the word of the daemon that gives orders."""
-        self._adopt(msgspec.msgpack.decode(content, type=LoadsUpdate))
+        self._apply(msgspec.msgpack.decode(content, type=LoadsUpdate))
 
-    def _tell(self, update: LoadsUpdate) -> None:
-        self._adopt(update)
+    def _broadcast(self, update: LoadsUpdate) -> None:
+        self._apply(update)
         content = msgspec.msgpack.encode(update)
         for member in self._coordinators.list_others():
             self._peers.send(member, Topic.loads_told, content)
 
-    def _adopt(self, update: LoadsUpdate) -> None:
+    def _apply(self, update: LoadsUpdate) -> None:
         for load in update.loads:
             upstream = self._pool.find(load.upstream)
             if upstream is None:
--- a/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
+++ b/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
@@ -43,20 +43,22 @@
     return [(batch, run) for batch in batches for run in batch.items]
 
 
-def teach(lengths: DurationPredictor, count: int = 64) -> None:
+def teach(durations: DurationPredictor, count: int = 64) -> None:
     """Show items whose estimates are right."""
     for number in range(count):
         events = 5 + number % 20
         took = timedelta(seconds=events * PACE)
-        lengths.learn('m', events * TOKENS, events, took)
+        durations.observe('m', events * TOKENS, events, took)
 
 
 def test_long_items_begin_first() -> None:
     """Also where they stand last in their batch."""
-    lengths = DurationPredictor()
-    teach(lengths)
+    durations = DurationPredictor()
+    teach(durations)
     batch = build_run('b', [500, 3000, 100, 6000])
-    ordered = [run.index for _, run in lengths.order(list_waiting(batch))]
+    ordered = [
+        run.index for _, run in durations.sort_by_urgency(list_waiting(batch))
+    ]
     assert ordered == [3, 1, 0, 2]
 
 
@@ -65,7 +67,7 @@
     # power. Its longest item, begun in the order of the batch, waits for a
     # second, and the trainer with it.
     batch = build_run('b', [100, 6000, 0, 500])
-    ordered = DurationPredictor().order(list_waiting(batch))
+    ordered = DurationPredictor().sort_by_urgency(list_waiting(batch))
     assert [run.index for _, run in ordered] == [1, 3, 0, 2]
 
 
@@ -75,16 +77,16 @@
     """Estimates order the items of batches that are due at the same time."""
     late = build_run('late', [100], due=DUE - 4000)
     new = build_run('new', [9000])
-    ordered = DurationPredictor().order(list_waiting(new, late))
+    ordered = DurationPredictor().sort_by_urgency(list_waiting(new, late))
     assert [batch.head.id for batch, _ in ordered] == ['late', 'new']
 
 
 def test_items_without_estimates_keep_their_order() -> None:
     """Whatever was learned of others."""
-    lengths = DurationPredictor()
-    teach(lengths)
+    durations = DurationPredictor()
+    teach(durations)
     batch = build_run('b', [0, 0, 0])
-    ordered = lengths.order(list_waiting(batch))
+    ordered = durations.sort_by_urgency(list_waiting(batch))
     assert [run.index for _, run in ordered] == [0, 1, 2]
 
 
@@ -92,21 +94,23 @@
     # A step is already three seconds late when the next one comes. Its short
     # items go before those of the new one that are no longer than the time
     # between them.
-    lengths = DurationPredictor()
-    teach(lengths)
+    durations = DurationPredictor()
+    teach(durations)
     late = build_run('late', [1000], due=DUE - 4000)
     new = build_run('new', [2000, 9000])
-    ordered = lengths.order(list_waiting(new, late))
+    ordered = durations.sort_by_urgency(list_waiting(new, late))
     assert [run.item.id for _, run in ordered] == ['new-1', 'late-0', 'new-0']
 
 
 def test_text_that_is_made_is_not_waited_for() -> None:
     """An item that goes on elsewhere counts by what is left of it."""
-    lengths = DurationPredictor()
-    teach(lengths)
+    durations = DurationPredictor()
+    teach(durations)
     batch = build_run('b', [4600, 2300])
     batch.items[0].texts = ['x'] * 90
-    ordered = [run.index for _, run in lengths.order(list_waiting(batch))]
+    ordered = [
+        run.index for _, run in durations.sort_by_urgency(list_waiting(batch))
+    ]
     assert ordered == [1, 0]
 
 
@@ -125,10 +129,10 @@
     left: int,
 ) -> None:
     """An item that is longer than estimated still goes on for a while."""
-    lengths = DurationPredictor()
-    teach(lengths)
+    durations = DurationPredictor()
+    teach(durations)
     assert (
-        abs(lengths.predict_remaining_events('m', estimate, made) - left) <= 1
+        abs(durations.predict_remaining_events('m', estimate, made) - left) <= 1
     )
 
 
@@ -166,10 +170,10 @@
 
 def order_burst(items: list[Item]) -> list[Item]:
     """Order items as a daemon does that has learned their lengths."""
-    lengths = DurationPredictor()
-    teach(lengths)
+    durations = DurationPredictor()
+    teach(durations)
     batch = build_run('b', [item.estimate for item in items])
-    ordered = lengths.order(list_waiting(batch))
+    ordered = durations.sort_by_urgency(list_waiting(batch))
     return [items[run.index] for _, run in ordered]
 
 
--- a/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
+++ b/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
@@ -121,7 +121,7 @@
         self.count = count
         self.everyone = [build_member(number) for number in range(count)]
         self.owner = self.everyone[0]
-        self.takers = rank_successors(
+        self.successors = rank_successors(
             'b', self.owner.incarnation, self.everyone
         )
         self.owner_lives = True
@@ -197,8 +197,8 @@
     # which heartbeats every few seconds, its silence said nothing for over five
     # seconds, and the trainer waited for a step that was due in seven.
     small, large = WatchWorld(SMALL), WatchWorld(LARGE)
-    few = await small.measure(small.takers[rank])
-    many = await large.measure(large.takers[rank])
+    few = await small.measure(small.successors[rank])
+    many = await large.measure(large.successors[rank])
     assert many <= few * MAX_RATIO
 
 
@@ -206,8 +206,10 @@
     # Were each daemon to look closely at each owner, the store would refuse
     # the reads of a large deployment.
     world = WatchWorld(LARGE)
-    takers = [Daemon(world, one) for one in world.takers[:WATCHERS_PER_BATCH]]
-    bystander = Daemon(world, world.takers[WATCHERS_PER_BATCH])
+    takers = [
+        Daemon(world, one) for one in world.successors[:WATCHERS_PER_BATCH]
+    ]
+    bystander = Daemon(world, world.successors[WATCHERS_PER_BATCH])
     await world.pass_time(WARM_UP)
     assert all(one.presence.is_watching(world.owner.vm) for one in takers)
     assert not bystander.presence.is_watching(world.owner.vm)
@@ -219,7 +221,7 @@
     # The store turns a daemon away that watches an owner. Every batch would
     # be taken from daemons that run it well.
     world = WatchWorld(SMALL)
-    taken = await world.measure(world.takers[0], cut=True)
+    taken = await world.measure(world.successors[0], cut=True)
     assert taken >= LONGEST
 
 
@@ -228,7 +230,7 @@
     # its callers wait.
     world = WatchWorld(LARGE)
     strong = [one for one in world.everyone[1:] if one.cores > 1]
-    assert {one.vm for one in world.takers[: len(strong)]} == {
+    assert {one.vm for one in world.successors[: len(strong)]} == {
         one.vm for one in strong
     }
 
--- a/quetzalcourse/tests/coordination/batches/placement_tests.py
+++ b/quetzalcourse/tests/coordination/batches/placement_tests.py
@@ -56,18 +56,20 @@
         assert upstream is not None
         return upstream
 
-    def place(self, count: int, need: PlacementRequest = NEED) -> Counter[str]:
+    def place(
+        self, count: int, request: PlacementRequest = NEED
+    ) -> Counter[str]:
         """Place items, and count where they went."""
         placed: Counter[str] = Counter()
         for _ in range(count):
-            upstream = self.placement.choose(need)
+            upstream = self.placement.choose(request)
             name = 'nowhere' if upstream is None else upstream.name
             if upstream is not None:
                 self.pool.on_start(upstream)
             placed[name] += 1
         return placed
 
-    def set_pace(self, number: int, seconds: float) -> None:
+    def set_token_latency(self, number: int, seconds: float) -> None:
         """Let an engine's streams have a token latency."""
         for _ in range(MIN_LATENCY_READINGS * 5):
             self.pool.on_token_latency(self.find(number), seconds)
@@ -101,7 +103,7 @@
     # step is due; with all others full it is still better than none.
     bench = Bench(3)
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
-        bench.set_pace(number, token_latency)
+        bench.set_token_latency(number, token_latency)
     assert 'e-0' not in bench.place(2 * SLOTS)
     assert bench.place(1) == {'e-0': 1}
 
@@ -111,7 +113,7 @@
     # that run there while others have slots end a second later.
     bench = Bench(3)
     for number, token_latency in enumerate((0.042, 0.032, 0.033)):
-        bench.set_pace(number, token_latency)
+        bench.set_token_latency(number, token_latency)
     assert bench.place(2 * SLOTS) == {'e-1': SLOTS, 'e-2': SLOTS}
     assert bench.place(1) == {'e-0': 1}
 
@@ -121,7 +123,7 @@
     # room, and stays while they are full: moving costs its prompt again.
     bench = Bench(3)
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
-        bench.set_pace(number, token_latency)
+        bench.set_token_latency(number, token_latency)
     slow = bench.find(0)
     assert bench.placement.is_slower_than_usual(slow)
     target = bench.placement.choose_migration_target(NEED, slow, 10)
@@ -138,8 +140,8 @@
     # elsewhere beside the one that is spared. Were all ten to leave, eight
     # would come back and stand still meanwhile, again and again.
     bench = Bench(2)
-    bench.set_pace(0, 0.16)
-    bench.set_pace(1, 0.04)
+    bench.set_token_latency(0, 0.16)
+    bench.set_token_latency(1, 0.04)
     fast = bench.find(1)
     fast.running = SLOTS - 3
     moved = 0
@@ -158,8 +160,8 @@
     # of a hundred events has about as many to come, which is a second; for
     # one that has just begun the move costs more than it gains.
     bench = Bench(2)
-    bench.set_pace(0, 0.042)
-    bench.set_pace(1, 0.032)
+    bench.set_token_latency(0, 0.042)
+    bench.set_token_latency(1, 0.032)
     here = bench.find(0)
     assert bench.placement.choose_migration_target(
         NEED, here, 100
@@ -191,7 +193,7 @@
     """Readings of six streams are enough to tell."""
     bench = Bench(25)
     for number in range(25):
-        bench.set_pace(number, 0.038)
+        bench.set_token_latency(number, 0.038)
     slow = bench.find(0)
     readings = 0
     while bench.placement.choose_migration_target(NEED, slow, 40) is None:
@@ -219,7 +221,7 @@
     # between them. Items moved on that would start a wave of moves.
     bench = Bench(3)
     for number in (1, 2):
-        bench.set_pace(number, 0.04)
+        bench.set_token_latency(number, 0.04)
     bench.pool.on_token_latency(bench.find(0), 0.5)
     assert (
         bench.placement.choose_migration_target(NEED, bench.find(0), 100)
--- a/quetzalcourse/tests/coordination/batches/runner_tests.py
+++ b/quetzalcourse/tests/coordination/batches/runner_tests.py
@@ -74,7 +74,7 @@
         await asyncio.Event().wait()
         return True
 
-    async def save(self, batch: BatchRun, partials: Any) -> None:
+    async def save_partials(self, batch: BatchRun, partials: Any) -> None:
         """Take texts and forget them."""
 
 
@@ -101,7 +101,7 @@
         counters = Counters()
         self.pool = Pool('hall-a', clock, counters)
         self.pool.replace(build_member('slow'))
-        self.set_pace('slow', 0.2)
+        self.set_token_latency('slow', 0.2)
         routes = RouteTable()
         config = json.dumps(documents.build_config()).encode()
         routes.adopt(read_manifest(config).unwrap())
@@ -130,7 +130,7 @@
         self.batch = build_batch_run(head, [item], (), 1, clock.elapsed())
         self.clock = clock
 
-    def set_pace(self, name: str, seconds: float) -> None:
+    def set_token_latency(self, name: str, seconds: float) -> None:
         """Let an engine's streams have a token latency."""
         upstream = self.pool.find(name)
         assert upstream is not None
@@ -145,7 +145,7 @@
     async def add_fast(self) -> None:
         """Add a fast engine, and let the item see it."""
         self.pool.replace(build_member('fast'))
-        self.set_pace('fast', 0.03)
+        self.set_token_latency('fast', 0.03)
         self.clock.move(MEDIAN_TTL)
         await asyncio.sleep(ROUND_SECONDS)
 
--- a/quetzalcourse/tests/coordination/batches/scoring_tests.py
+++ b/quetzalcourse/tests/coordination/batches/scoring_tests.py
@@ -10,7 +10,7 @@
 from quetzalcourse.coordination.batches.scoring import (
     choose_upstream,
     compute_timeout,
-    has_room,
+    has_capacity,
 )
 from quetzalcourse.coordination.forwarding.attempt_timeouts import (
     AttemptTimeouts,
@@ -84,13 +84,13 @@
     upstream = build_upstream('s', running)
     upstream.others = others
     upstream.others_at = NOW - timedelta(seconds=age)
-    assert has_room(upstream, NOW) is room
+    assert has_capacity(upstream, NOW) is room
 
 
 def test_small_upstream_still_scores() -> None:
     """One with a single slot has room for one call."""
     upstream = Upstream(PoolMember('s', 'app', 's:1', 'hall', 1))
-    assert has_room(upstream, NOW)
+    assert has_capacity(upstream, NOW)
 
 
 def test_refusing_upstream_is_left_alone() -> None:
@@ -152,7 +152,7 @@
     run = ItemRun(item, 0, ItemState.running, texts=['a'], last_event=1)
     run.scoring_failures = 1
     run.await_score()
-    saved = run.save()
+    saved = run.build_partial()
     assert saved == PartialText('i', ['a'], [], 1, True, 1)
     successor = ItemRun(item, 0)
     successor.restore(saved)
--- a/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
+++ b/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
@@ -55,7 +55,7 @@
             self.pool, world.clock, number, len(MODELS), world.network
         )
         self.placement = Placement(self.pool, self.allocator, world.clock)
-        self.need = PlacementRequest(
+        self.request = PlacementRequest(
             'engines', MODELS[number], 1, latest_start=world.clock.elapsed()
         )
         self.waiting = 0
@@ -69,13 +69,13 @@
     def place(self) -> None:
         """Place as many items as find a slot, and tell the others."""
         while self.waiting:
-            upstream = self.placement.choose(self.need)
+            upstream = self.placement.choose(self.request)
             if upstream is None:
                 break
             self.waiting -= 1
             self.pool.on_start(upstream)
             self.running.append(upstream)
-        short = [SlotDemand(self.need.key, self.need.latest_start)]
+        short = [SlotDemand(self.request.key, self.request.latest_start)]
         self.updates.send_update(short if self.waiting else [])
 
     def finish(self, count: int) -> None:
@@ -104,7 +104,7 @@
             Coordinator(self, number) for number in range(len(MODELS))
         ]
 
-    async def meet(self) -> None:
+    async def introduce_coordinators(self) -> None:
         """Let the coordinators learn of each other by a batch each."""
         for coordinator in self.coordinators:
             coordinator.begin(1)
@@ -153,7 +153,7 @@
     # coordinators send to the same slots wait inside the upstreams for
     # seconds, and a trainer waits for the longest of them.
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     for coordinator in world.coordinators:
         coordinator.begin(ITEMS)
     assert await world.play(4) == 0
@@ -163,7 +163,7 @@
 async def test_both_steps_go_on_while_slots_become_free() -> None:
     """Neither coordinator takes what becomes free at the other's upstreams."""
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     for coordinator in world.coordinators:
         coordinator.begin(ITEMS)
     assert await world.play(12, finished=10) <= SLOTS
@@ -175,7 +175,7 @@
     # One trainer has all slots when the other submits. Slots that become
     # free would go on to the first one's waiting items.
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     first, second = world.coordinators
     first.begin(2 * ITEMS)
     await world.play(3)
@@ -190,12 +190,12 @@
     # its own, as after a takeover. A newer step that had half of the slots
     # would keep it late to the end of the day.
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     newer, older = world.coordinators
     newer.begin(2 * ITEMS)
     await world.play(3)
-    older.need = replace(
-        older.need, latest_start=older.need.latest_start - LATE
+    older.request = replace(
+        older.request, latest_start=older.request.latest_start - LATE
     )
     older.begin(ITEMS)
     await world.play(8, finished=12)
@@ -207,7 +207,7 @@
 async def test_single_step_takes_every_slot() -> None:
     """Upstreams are kept for a coordinator only while it has items."""
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     world.coordinators[0].begin(ITEMS)
     await world.play(3)
     assert len(world.coordinators[0].running) == UPSTREAMS * SLOTS
@@ -217,7 +217,7 @@
     # The other coordinator dies with all its items. Slots kept for it would
     # stand idle while steps wait.
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     first, second = world.coordinators
     second.begin(2 * ITEMS)
     second.place()
@@ -235,7 +235,7 @@
     # An upstream failed at the coordinator that goes first there, so that it
     # rests at that one. Kept for it all the same it would serve nobody.
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     first, second = world.coordinators
     for upstream in second.pool.list_service('engines'):
         second.pool.on_failure(upstream, 'reset')
@@ -248,7 +248,7 @@
 async def test_foreign_slots_wait_for_news_only_at_the_start() -> None:
     """The wait is a few milliseconds, and none at the own upstreams."""
     world = World()
-    await world.meet()
+    await world.introduce_coordinators()
     coordinator = world.coordinators[0]
     coordinator.begin(UPSTREAMS * SLOTS)
     coordinator.place()
--- a/quetzalcourse/tests/coordination/versions/load_plan_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_plan_tests.py
@@ -22,7 +22,7 @@
     ]
 
 
-def carry_out(
+def apply_loads(
     views: list[UpstreamVersions], loads: list[WeightLoad]
 ) -> list[UpstreamVersions]:
     """Show upstreams after their loads."""
@@ -42,7 +42,7 @@
     """
     rounds = 0
     while loads := plan_loads(views, named):
-        views = carry_out(views, loads)
+        views = apply_loads(views, loads)
         rounds += 1
     return views, rounds
 
