--- a/quetzalcourse/coordination/feeds/__init__.py
+++ b/quetzalcourse/coordination/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Following the tables of the platform's store."""
+"""Change feeds of the store's tables, member liveness and store relaying."""
--- a/quetzalcourse/coordination/feeds/feed_relay.py
+++ b/quetzalcourse/coordination/feeds/feed_relay.py
@@ -1,9 +1,8 @@
-"""Rows from other daemons, while the store turns this one away.
+"""Fetches rows from other daemons while the store refuses this one.
 
-The store may refuse some daemons and serve the others. A daemon that it
-refuses would go on with the keys and routes of before, and a caller whose
-key was withdrawn would be served there for as long. So it asks the others
-for what is newer.
+The store may refuse some daemons and serve others. A refused daemon would go
+on with outdated keys and routes, and serve a caller whose key has been
+withdrawn. So it asks other daemons for newer rows.
 """
 
 from __future__ import annotations
@@ -30,17 +29,17 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
 
-# With three asked at a time, one that is itself turned away, or was killed,
-# costs no more than the next tick.
+# With three peers per request, a peer that is refused itself or was killed
+# delays the rows by one request interval at most.
 PEERS_PER_REQUEST = 3
 REQUEST_INTERVAL = timedelta(milliseconds=250)
 log = get_log('relay')
 
 
 class RowsRequest(msgspec.Struct, frozen=True):
-    """Question for the rows of a table.
+    """Request for the rows of a table.
 
-    :param newest: version of the newest row that the sender knows.
+    :param newest: version of the newest row that the sender has.
     """
 
     table: str
@@ -48,7 +47,7 @@
 
 
 class RowUpdate(msgspec.Struct, frozen=True):
-    """A row on its way between daemons."""
+    """A row sent between daemons."""
 
     key: str
     content: bytes
@@ -57,11 +56,12 @@
 
 
 class RowsUpdate(msgspec.Struct, frozen=True):
-    """Rows of a table that are newer than those asked about.
+    """Rows of a table that are newer than the requester's.
 
-    :param newest: newest version that the sender knows.
-    :param rows: none if the one who asked knows as much.
-    :param keys: all rows there are, if ``rows`` has any; others are gone.
+    :param newest: newest version that the sender has.
+    :param rows: empty if the requester is up to date.
+    :param keys: keys of all existing rows, if ``rows`` has any; other rows are
+        deleted.
     :param hears_store: whether the store answers the sender.
     """
 
@@ -73,11 +73,11 @@
 
 
 class FeedRelay:
-    """Asks and answers for the rows of some tables.
+    """Requests rows of some tables from peers and answers their requests.
 
-    :param followers: follow the tables that are asked for.
-    :param readiness: learns from every answer who reaches the store.
-    :param relay_peers: learns it too, and wakes to ask at once.
+    :param followers: local copies of the tables.
+    :param readiness: is told by every answer which daemons reach the store.
+    :param relay_peers: is told it too, and can trigger a request at once.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Listen to questions and answers."""
+        """Subscribe to requests and answers."""
         self._followers = {one.table: one for one in followers}
         self._peers = peers
         self._members = members
@@ -103,7 +103,7 @@
         peers.subscribe(Topic.rows_told, self.on_update)
 
     async def run(self) -> None:
-        """Ask while the store does not answer, until cancelled."""
+        """Request rows while the store is unavailable, until cancelled."""
         while True:
             for follower in self._followers.values():
                 if (
@@ -115,9 +115,9 @@
             await wait_event(self._relay_peers.report_request, REQUEST_INTERVAL)
 
     def on_request(self, sender: Member, content: bytes) -> None:
-        """Answer a daemon with what it does not know.
+        """Answer a request with the rows that are newer than the sender's.
 
-        It learns from an answer without rows that this one is in reach.
+        An answer without rows still shows that this daemon is reachable.
         """
         request = msgspec.msgpack.decode(content, type=RowsRequest)
         follower = self._followers.get(request.table)
@@ -138,7 +138,7 @@
         )
 
     def on_update(self, sender: Member, content: bytes) -> None:
-        """Take rows that another daemon knows."""
+        """Apply rows from another daemon while the store is unavailable."""
         update = msgspec.msgpack.decode(content, type=RowsUpdate)
         self._readiness.on_report(sender, hears_store=update.hears_store)
         self._relay_peers.on_report(sender, hears_store=update.hears_store)
@@ -158,7 +158,7 @@
         rows = [Row(row.key, row.content, row.version) for row in update.rows]
         self._counters.add('rows_relayed', len(rows), table=update.table)
         log.info(
-            'Rows came from another daemon.',
+            'Received newer rows from another daemon.',
             table=update.table,
             peer=sender.address,
             rows=len(rows),
--- a/quetzalcourse/coordination/feeds/follower.py
+++ b/quetzalcourse/coordination/feeds/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a copy of a table of the platform's store."""
+"""Keeps a local copy of one of the store's tables up to date."""
 
 from __future__ import annotations
 
@@ -19,30 +19,29 @@
 
     RowListener = Callable[[list[Row]], None]
 
-# Short enough that a channel which went silent is noticed within the two
-# seconds in which a new manifest has to be in force.
+# A stalled channel has to be noticed within the two seconds in which a new
+# manifest must be in force.
 FOLLOW_WAIT = timedelta(seconds=1)
-# A sound store answers each wait in time; this much later it does not.
+# A healthy store answers each long poll within FOLLOW_WAIT.
 ANSWER_TIMEOUT = timedelta(seconds=1.3)
 RETRY_DELAY = timedelta(milliseconds=150)
-# Three answers in a row that fail; single ones do on any day.
+# Three failed answers in a row; single failures are routine.
 PERSISTENT_FAULT_TIME = timedelta(milliseconds=500)
 UNKNOWN_VERSION = -1
 log = get_log('feed')
 
 
 class TableFollower:
-    """Follows one table and tells its changes.
+    """Follows the changes of one table and passes them to listeners.
 
-    A row only ever moves to a higher version here: an answer that is older
-    than what is known, from a store that lags behind itself, changes
-    nothing.
+    A row only ever moves to a higher version. An answer older than the local
+    copy, as a lagging replica of the store may give, changes nothing.
 
     :param table: name of the table.
-    :param single_part: whether all its rows are in the empty part.
-    :param wait: how long the store holds a question for changes.
-    :param pause: time between two answers, for tables that change all the
-        time; changes that come meanwhile arrive together.
+    :param single_part: whether all rows are in the part with the empty name.
+    :param wait: how long the store holds a long poll for changes.
+    :param pause: time between two polls, for tables that change all the time;
+        changes in between arrive together.
     """
 
     def __init__(
@@ -56,7 +55,7 @@
         pause: timedelta = timedelta(0),
         wait: timedelta = FOLLOW_WAIT,
     ) -> None:
-        """Begin with an empty copy."""
+        """Start with an empty copy."""
         self.table = table
         self.rows: dict[str, Row] = {}
         self.loaded = False
@@ -75,17 +74,17 @@
 
     @property
     def store_unavailable(self) -> bool:
-        """Whether the store fails to answer this daemon."""
+        """Whether the last poll failed or its answer is overdue."""
         return self._failing or self.answer_overdue
 
     @property
     def answer_overdue(self) -> bool:
-        """Whether the store has not answered for longer than it ever waits."""
+        """Whether the store's next answer is later than any long poll takes."""
         return self.time_since_answer > ANSWER_TIMEOUT
 
     @property
     def persistently_unavailable(self) -> bool:
-        """Whether the store has failed to answer more than once."""
+        """Whether the store has been unavailable beyond a single fault."""
         failing_for = self._clock.elapsed() - self._failing_since
         return self.answer_overdue or (
             self._failing and failing_for > PERSISTENT_FAULT_TIME
@@ -93,28 +92,28 @@
 
     @property
     def newest_version(self) -> int:
-        """Version of the newest row that is known."""
+        """Version of the newest row in the copy."""
         versions = (row.version for row in self.rows.values())
         return max(versions, default=0)
 
     @property
     def time_since_answer(self) -> timedelta:
-        """How long ago the store last answered."""
+        """Time since the store's last answer."""
         return self._clock.elapsed() - self._answered_at
 
     @property
     def healthy_for(self) -> timedelta:
-        """How long the store has answered without a fault."""
+        """Time for which the store has answered without a fault."""
         if self._failing:
             return timedelta(0)
         return self._clock.elapsed() - self._recovered_at
 
     def on_rows(self, listener: RowListener) -> None:
-        """Call a listener with the rows that changed, in their order."""
+        """Register a listener for changed rows, which get them in order."""
         self._listeners.append(listener)
 
     async def run(self) -> None:
-        """Follow the table until the task is cancelled."""
+        """Poll for changes until the task is cancelled."""
         while True:
             fault = await self._poll()
             if fault is None:
@@ -125,7 +124,7 @@
                 await self._clock.sleep(RETRY_DELAY)
 
     def apply_rows(self, rows: list[Row]) -> None:
-        """Take rows, also from another daemon, if they are newer."""
+        """Apply rows that are newer than the copy, whatever their source."""
         newer = [row for row in rows if self._is_newer(row)]
         for row in newer:
             self.rows[row.key] = row
@@ -146,7 +145,10 @@
         answer = await self._feed.follow(self.table, self._version, self._wait)
         if isinstance(answer, Err):
             if answer.err_value.history_lost:
-                log.warning('History is lost, read again.', table=self.table)
+                log.warning(
+                    'Change history truncated; reloading the table.',
+                    table=self.table,
+                )
                 self._version = UNKNOWN_VERSION
                 return None
             return answer.err_value
@@ -186,8 +188,8 @@
                 return answer
             rows.extend(answer.ok_value.rows)
             versions.append(answer.ok_value.version)
-        # The parts were read one after the other; behind the oldest of
-        # these versions no change can have been missed.
+        # The parts were read one after the other: only the oldest of their
+        # versions is safe to follow from without missing a change.
         return Ok((rows, min(versions)))
 
     def _on_answer(self) -> None:
--- a/quetzalcourse/coordination/feeds/heartbeats.py
+++ b/quetzalcourse/coordination/feeds/heartbeats.py
@@ -1,32 +1,31 @@
-"""How often a daemon tells that it lives, and when its silence is its end.
-
-The load that this answers: hundreds of daemons share one store, so each of
-them may write only every few seconds, and reads what the others wrote only
-every second or two. A daemon that runs batches and dies leaves a step of
-seconds standing still until that is noticed. So the few that run batches
-heartbeat as often as in a small deployment, whatever the number of the others,
-and each row says how soon the next one follows.
+"""Intervals of the heartbeat rows, and the timeout of a silent daemon.
+
+Hundreds of daemons share one store, so each may write only every few seconds
+and read the others' rows only every second or two. When a daemon that runs
+batches dies, their steps stall until its death is noticed. Those few daemons
+therefore heartbeat as often as in a small deployment, however many others
+there are, and each row states when the next heartbeat follows.
 """
 
 from __future__ import annotations
 
 from datetime import timedelta
 
-# Shortest interval, and that of daemons that run batches.
+# Shortest interval, and the one of daemons that run batches.
 HEARTBEAT_INTERVAL = timedelta(seconds=0.5)
-# Rate of all daemons without batches together.
+# Total rate of all daemons that run no batches.
 HEARTBEATS_PER_SECOND = 80
-# Missed heartbeats, and the time of a slow write, after which a daemon counts
-# as gone.
+# A daemon counts as dead after this many missed heartbeats plus the time that
+# a slow write may take.
 MAX_MISSED_HEARTBEATS = 2
 WRITE_LATENCY_MARGIN = timedelta(seconds=0.4)
 
 
 def choose_heartbeat_interval(daemons: int, *, urgent: bool) -> timedelta:
-    """Tell how soon a daemon heartbeats again.
+    """Choose the time until a daemon's next heartbeat.
 
-    :param daemons: how many share the store.
-    :param urgent: whether work stands still if this one dies.
+    :param daemons: number of daemons that share the store.
+    :param urgent: whether work stalls if this daemon dies.
     """
     if urgent:
         return HEARTBEAT_INTERVAL
@@ -38,11 +37,11 @@
 def find_liveness_timeout(
     interval: timedelta, read_interval: timedelta
 ) -> timedelta:
-    """Tell after which silence a daemon counts as gone.
+    """Find the time without a heartbeat after which a daemon counts as dead.
 
-    :param interval: how soon it promised its next heartbeat.
-    :param read_interval: time between two reads of its row; a heartbeat may
-        stand in the store for as long without being seen.
+    :param interval: time to the next heartbeat, as stated in its row.
+    :param read_interval: time between two reads of its row; a heartbeat may be
+        in the store for that long before it is read.
     """
     return (
         max(interval * MAX_MISSED_HEARTBEATS, interval + read_interval)
--- a/quetzalcourse/coordination/feeds/liveness_probes.py
+++ b/quetzalcourse/coordination/feeds/liveness_probes.py
@@ -1,10 +1,10 @@
-"""Asks daemons directly whether they live before their silence counts.
+"""Probes daemons directly before a missed heartbeat row counts as their death.
 
-Liveness is a row of the store. When the part of the store that holds the rows
-of a data centre is unavailable, all daemons there look dead to the others,
-which would take over their batches, and choose other coordinators, while the
-steps of those batches go on. So a daemon whose row is overdue is asked over
-the peer link, and its answer counts like its row.
+Liveness is a row in the store. When the part of the store that holds the
+rows of a data centre is unavailable, all daemons there look dead to the
+others, which would take over their batches and choose other coordinators
+while the steps of those batches still run. So a daemon whose row is overdue
+is pinged over the peer link, and its answer counts like a new row.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
-# Several probes fit between an overdue row and the end that it means.
+# Several probes fit between an overdue row and the liveness timeout.
 PROBE_INTERVAL = timedelta(milliseconds=100)
 EMPTY_MESSAGE = b''
 
 
 class LivenessProbes:
-    """Asks the daemons whose rows are overdue, and answers the others.
+    """Pings daemons whose rows are overdue and answers pings of others.
 
     :param can_reach_store: whether this daemon reaches the store, directly or
-        through another one; a daemon that does not can commit nothing, so it
-        leaves questions unanswered and its work is taken over.
+        through another one. A daemon that does not can commit nothing, so it
+        leaves pings unanswered and its work is taken over.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         can_reach_store: Callable[[], bool],
         clock: Clock,
     ) -> None:
-        """Listen to questions and answers."""
+        """Subscribe to pings and answers."""
         self._presence = presence
         self._peers = peers
         self._can_reach_store = can_reach_store
@@ -51,21 +51,21 @@
         peers.subscribe(Topic.liveness_pong, self.on_pong)
 
     async def run(self) -> None:
-        """Ask overdue daemons until the task is cancelled."""
+        """Send probes until the task is cancelled."""
         while True:
             self.probe()
             await self._clock.sleep(PROBE_INTERVAL)
 
     def probe(self) -> None:
-        """Ask every daemon whose row is overdue."""
+        """Ping every daemon whose row is overdue."""
         for member in self._presence.list_overdue():
             self._peers.send(member, Topic.liveness_ping, EMPTY_MESSAGE)
 
     def on_ping(self, sender: Member, _: bytes) -> None:
-        """Answer another daemon."""
+        """Answer a ping unless this daemon leaves or has lost the store."""
         if self._can_reach_store() and not self._presence.own.leaving:
             self._peers.send(sender, Topic.liveness_pong, EMPTY_MESSAGE)
 
     def on_pong(self, sender: Member, _: bytes) -> None:
-        """Learn that another daemon lives."""
+        """Record the answer of a daemon that is alive."""
         self._presence.on_pong(sender)
--- a/quetzalcourse/coordination/feeds/ports.py
+++ b/quetzalcourse/coordination/feeds/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces to the platform's store beyond its table."""
+"""Interfaces to the store's change feed and clock."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ChangeFeed(Protocol):
-    """Changes of tables, in their order.
+    """Ordered changes of tables.
 
-    A row's key is ``TABLE/PART/NAME``; the rows that one transaction writes
-    share their part.
+    A row's key is ``TABLE/PART/NAME``; all rows written by one transaction are
+    in the same part.
     """
 
     async def read_part(
@@ -26,7 +26,7 @@
     ) -> Result[Changes, StoreFault]:
         """Read all rows of a part.
 
-        :returns: the rows, with a version behind which to follow.
+        :returns: the rows, with the version to follow from.
         """
 
     async def list_parts(self, table: str) -> Result[list[str], StoreFault]:
@@ -38,14 +38,15 @@
         version: int,
         wait: timedelta,
     ) -> Result[Changes, StoreFault]:
-        """Wait for the changes behind a version.
+        """Wait for changes after a version.
 
-        :returns: the changes, none if there were none in time.
+        :param wait: how long the store may hold the call.
+        :returns: the changes, empty if there were none within the wait.
         """
 
 
 class StoreClock(Protocol):
-    """The store's own clock, which all daemons read alike."""
+    """The store's clock, which is the same for all daemons."""
 
     def estimate(self) -> timedelta | None:
-        """Estimate the store's time, ``None`` before its first answer."""
+        """Estimate the store's time; ``None`` before its first answer."""
--- a/quetzalcourse/coordination/feeds/presence.py
+++ b/quetzalcourse/coordination/feeds/presence.py
@@ -1,4 +1,4 @@
-"""Which daemons live, told by a row that each rewrites in the store."""
+"""Liveness of daemons, by a heartbeat row that each rewrites in the store."""
 
 from __future__ import annotations
 
@@ -33,23 +33,24 @@
     UsageCounts = dict[str, dict[str, int]]
 
 TABLE = 'members'
-# Counts of usage that only this daemon has are lost with it, so they are
-# told soon, yet not with each request.
+# Unwritten usage counts are lost if the daemon dies, so changes are written
+# soon, but in batches rather than once per request.
 CHANGE_BATCH_DELAY = timedelta(milliseconds=250)
-# Names in one line of the log; each daemon also tells its own at its start.
+# Names per log line; each daemon logs its own name at its start.
 MAX_LOGGED_NAMES = 10
-# A daemon that has not answered for as long is not asked any more.
+# Time since its last sign of life after which a daemon is no longer probed.
 MAX_PROBE_TIME = timedelta(seconds=15)
 log = get_log('members')
 
 
 class PresenceRecord(msgspec.Struct, frozen=True):
-    """What a daemon's row says.
+    """Content of a daemon's heartbeat row.
 
-    :param usage: requests of each account that ran, by window.
-    :param calendar_offset: seconds that the VM's wall_clock is ahead of the
+    :param beat: number of the heartbeat in this run.
+    :param usage: requests that ran, by window and account.
+    :param calendar_offset: seconds that the VM's wall clock is ahead of the
         store's clock.
-    :param cores: processor time that the VM has.
+    :param cores: processor time that the VM has, in cores.
     :param gap: seconds within which the next heartbeat follows.
     """
 
@@ -65,18 +66,18 @@
     gap: float = 0
 
 
-def format_row_key(one: Member | PresenceRecord) -> str:
-    """Name the row of a daemon; the next run on its VM writes it too."""
-    return f'{TABLE}/{one.data_centre}/{one.vm}'
+def format_row_key(member: Member | PresenceRecord) -> str:
+    """Format the key of a daemon's row; later runs on the same VM share it."""
+    return f'{TABLE}/{member.data_centre}/{member.vm}'
 
 
 class Presence:
-    """The daemons whose rows change, as this daemon's clock sees it.
+    """Live daemons by their heartbeat rows, timed with the local clock.
 
     :param own: this daemon.
-    :param usage: gives the counts that go with each heartbeat.
-    :param restore_usage: takes the counts of the run before on the same VM.
-    :param wall_clock: learns how the daemons' calendars differ.
+    :param usage: returns the usage counts to write with each heartbeat.
+    :param restore_usage: takes the counts of the previous run on the same VM.
+    :param wall_clock: receives the clock offsets that the daemons report.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
         restore_usage: Callable[[UsageCounts], None],
         wall_clock: WallClockEstimate,
     ) -> None:
-        """Begin with nobody known but this daemon."""
+        """Start with this daemon as the only known one."""
         self.own = own
         self.records: dict[str, PresenceRecord] = {}
         self._table = table
@@ -114,41 +115,43 @@
         follower.on_rows(self.on_rows)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever a daemon came, left or began anew."""
+        """Register a listener for daemons that join, leave or restart."""
         self._listeners.append(listener)
 
     def set_urgency_check(self, ask: Callable[[], bool]) -> None:
-        """Ask before each heartbeat whether this daemon does urgent work."""
+        """Set the check, made before each heartbeat, for urgent work here."""
         self._is_urgent = ask
 
-    def watch(self, vms: Collection[str], gap: timedelta) -> None:
-        """Judge some VMs by rows that are read directly from now on.
+    def watch(self, vms: Collection[str], read_interval: timedelta) -> None:
+        """Judge the given VMs by rows that the caller reads directly.
 
-        :param gap: time between two reads of such a row.
+        Replaces the VMs of the previous call.
+
+        :param read_interval: time between two reads of such a row.
         """
         now = self._clock.elapsed()
-        self._watch_interval = gap
+        self._watch_interval = read_interval
         self._watched = {vm: self._watched.get(vm, now) for vm in vms}
 
     @property
     def watching(self) -> bool:
-        """Whether any VM is judged by rows that are read directly."""
+        """Whether any VM is judged by directly read rows."""
         return bool(self._watched)
 
     def is_watching(self, vm: str) -> bool:
-        """Tell whether a VM is judged by rows that are read directly."""
+        """Tell whether a VM is judged by directly read rows."""
         return vm in self._watched
 
     def on_read_failed(self, vm: str) -> None:
-        """Learn that the row of a watched VM could not be read."""
+        """Restart the timeout of a watched VM whose row could not be read."""
         self._watched.update({vm: self._clock.elapsed()})
 
     def find_row_key(self, vm: str) -> str:
-        """Name the row of a VM that is known."""
+        """Format the key of a known VM's row."""
         return format_row_key(self.records[vm])
 
     def on_rows(self, rows: list[Row]) -> None:
-        """Take rows that changed."""
+        """Apply changed heartbeat rows and notify listeners."""
         changed: list[PresenceRecord] = []
         for row in rows:
             record = _decode_record(row)
@@ -168,7 +171,9 @@
     def list_live(self, data_centre: str = '') -> list[Member]:
         """List the live daemons, this one included, sorted by incarnation.
 
-        A leaving one is not listed: it takes nothing over.
+        Daemons that are leaving are left out, since they take over no work.
+
+        :param data_centre: only those there, or all if empty.
         """
         live = [] if self.own.leaving else [self.own]
         for record in self.records.values():
@@ -185,7 +190,7 @@
         )
 
     def list_overdue(self) -> list[Member]:
-        """List the other daemons whose rows should have changed by now."""
+        """List the other daemons whose heartbeat is overdue, to probe them."""
         now = self._clock.elapsed()
         return [
             _build_member(record)
@@ -196,13 +201,13 @@
         ]
 
     def on_pong(self, sender: Member) -> None:
-        """Learn from a daemon itself that it lives."""
+        """Record that a daemon answered a liveness probe."""
         record = self.records.get(sender.vm)
         if record is not None and record.incarnation == sender.incarnation:
             self._pong_at[sender.vm] = self._clock.elapsed()
 
     def is_live(self, vm: str, incarnation: str) -> bool:
-        """Tell whether one run of a daemon goes on."""
+        """Tell whether a given run of a daemon is alive."""
         if vm == self.own.vm:
             return incarnation == self.own.incarnation
         record = self.records.get(vm)
@@ -211,10 +216,10 @@
         return self._is_recent(vm)
 
     def is_replaced(self, vm: str, incarnation: str, version: int) -> bool:
-        """Tell whether a later run on the same VM has taken a run's place.
+        """Tell whether a later run on the same VM has replaced a run.
 
-        :param version: version of a row that the run wrote; a later run
-            begins its own row with a higher one.
+        :param version: version of a row that the run wrote; the row of a later
+            run starts with a higher one.
         """
         record = self.records.get(vm)
         if record is None or record.incarnation == incarnation:
@@ -222,16 +227,16 @@
         return self._versions[vm] > version
 
     def find_data_centre(self, owner: Ownership | None) -> str:
-        """Tell where an owner stands or stood, empty if it is not known."""
+        """Find the data centre of an owner, empty if it is not known."""
         record = self.records.get(owner.vm) if owner is not None else None
         return record.data_centre if record is not None else ''
 
     def announce(self) -> None:
-        """Tell of a change soon, without waiting for the next heartbeat."""
+        """Write the row soon instead of at the next heartbeat."""
         self._write_due.set()
 
     async def leave(self) -> None:
-        """Tell that this daemon takes nothing over any more."""
+        """Write that this daemon is leaving and takes over no more work."""
         self.own = replace(self.own, leaving=True)
         await self._write()
         self._notify()
@@ -249,8 +254,8 @@
             return
         self._heartbeats_sent += 1
         self._write_due.clear()
-        # A heartbeat that leaves urgent work behind still keeps the promise of
-        # the one before it.
+        # If urgent work has just ended, this heartbeat still arrives within the
+        # shorter interval that the previous one stated.
         self._interval = choose_heartbeat_interval(
             len(self.records), urgent=self._is_urgent()
         )
@@ -266,8 +271,8 @@
             self.own.cores,
             self._interval.total_seconds(),
         )
-        # The condition keeps out heartbeats of the run before whose answers
-        # were lost: applied late, they would show that run as the living one.
+        # The condition rejects delayed writes of the previous run whose answers
+        # were lost; applied late, they would show that run as alive.
         key = format_row_key(self.own)
         answer = await self._table.transact(
             Transaction(
@@ -282,7 +287,7 @@
             self._row_version = answer.ok_value.version
 
     async def _read_own(self) -> bool:
-        """Learn the version of the own row, and what the run before counted.
+        """Read the own row's version and, once, the counts of the previous run.
 
         :returns: whether the store answered.
         """
@@ -308,8 +313,8 @@
             self._wall_clock.on_offset(record.vm, offset)
 
     def _is_recent(self, vm: str) -> bool:
-        # While the store is away nobody is heard, which says nothing of
-        # the others; they have their time again once it is back.
+        # While the store is unavailable no heartbeat arrives, which says
+        # nothing about the others; their timeouts restart once it answers.
         last_seen, timeout = self._find_last_seen(vm)
         age = self._clock.elapsed() - last_seen
         return age < timeout or self._follower.healthy_for < timeout
@@ -321,7 +326,7 @@
         )
 
     def _find_last_seen(self, vm: str) -> tuple[timedelta, timedelta]:
-        """Find when a daemon was heard, and which silence is its end."""
+        """Find a daemon's last sign of life and its liveness timeout."""
         pong_at = self._pong_at.get(vm, timedelta(0))
         last_seen = max(self._row_seen_at.get(vm, timedelta(0)), pong_at)
         read_interval = self._follower.pause
@@ -345,17 +350,21 @@
 
 
 def _log_changes(changed: list[PresenceRecord]) -> None:
-    """Write one line, since a deployment starts hundreds of daemons at once."""
+    """Log all changes in one line: a rollout starts hundreds of daemons."""
     log.info(
-        'Daemons are seen.',
+        'Member states changed.',
         count=len(changed),
-        incarnations=[one.incarnation for one in changed[:MAX_LOGGED_NAMES]],
-        leaving=[one.vm for one in changed if one.leaving][:MAX_LOGGED_NAMES],
+        incarnations=[
+            record.incarnation for record in changed[:MAX_LOGGED_NAMES]
+        ],
+        leaving=[record.vm for record in changed if record.leaving][
+            :MAX_LOGGED_NAMES
+        ],
     )
 
 
 def _not_urgent() -> bool:
-    """Tell that nothing stands still without this daemon."""
+    """Tell that this daemon does no urgent work."""
     return False
 
 
@@ -365,7 +374,7 @@
     try:
         return msgspec.json.decode(row.content, type=PresenceRecord)
     except msgspec.DecodeError:
-        log.warning('Row of a daemon is malformed.', key=row.key)
+        log.warning('Ignored a malformed member row.', key=row.key)
         return None
 
 
--- a/quetzalcourse/coordination/feeds/readiness.py
+++ b/quetzalcourse/coordination/feeds/readiness.py
@@ -1,10 +1,10 @@
-"""Whether new callers are better served by other daemons.
+"""Readiness of a daemon that the store does not answer.
 
-The load that this answers: a daemon, or a whole data centre, is cut from the
-store for some seconds while its callers still reach it. It must refuse every
-batch, and steps that are due seconds later wait for the cut to end, though
-daemons elsewhere could take them. While it says that it is not ready, the
-platform's balancer brings new callers to those.
+A daemon or a whole data centre may be cut off from the store for some seconds
+while its callers still reach it. It must reject every batch, and steps that
+are due seconds later wait for the partition to end, although daemons elsewhere
+could take them. While this daemon reports that it is not ready, the
+platform's load balancer sends new callers to those.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
-# Silence of the store and of all other daemons that means a partition.
+# Silence of the store that means a partition if no daemon of another data
+# centre reports either.
 PARTITION_TIMEOUT = timedelta(seconds=1.9)
-# Age until which another daemon's report counts.
+# Maximum age of another daemon's report.
 REACHABILITY_TTL = timedelta(seconds=1)
 LONG_AGO = timedelta(days=-1)
 log = get_log('reach')
 
 
 class StoreReadiness:
-    """What others say while the store does not answer this daemon.
+    """Decides whether new callers are better served by other daemons.
 
-    :param follower: table by which the store's answers are judged.
-    :param members: daemons that may say something.
+    :param follower: table whose answers show whether the store is available.
+    :param members: daemons whose reports count.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         members: MemberView,
         clock: Clock,
     ) -> None:
-        """Begin without a report from anyone."""
+        """Start ready, without any report."""
         self._follower = follower
         self._members = members
         self._clock = clock
@@ -50,9 +51,9 @@
         self._ready = True
 
     def on_report(self, sender: Member, *, hears_store: bool) -> None:
-        """Take the report of another daemon.
+        """Record a report of another daemon.
 
-        :param hears_store: whether the store answers that one.
+        :param hears_store: whether the store answers that daemon.
         """
         now = self._clock.elapsed()
         if hears_store:
@@ -61,20 +62,20 @@
             self._remote_reported_at = now
 
     def is_ready(self) -> bool:
-        """Tell whether new callers are served here as well as elsewhere.
+        """Tell whether this daemon serves new callers as well as others would.
 
-        While the store is down for everyone no other daemon is better off,
-        so this one goes on.
+        While the store is down for all daemons, none serves callers better, so
+        this one stays ready.
         """
         reason = self._find_reason()
         if self._ready and reason:
             log.warning(
-                'Callers are sent elsewhere.',
+                'Not ready: new callers are better served by other daemons.',
                 reason=reason,
                 silent_seconds=self._follower.time_since_answer.total_seconds(),
             )
         elif reason == '' and not self._ready:
-            log.info('Callers are welcome again.')
+            log.info('Ready for new callers again.')
         self._ready = reason == ''
         return self._ready
 
@@ -83,14 +84,14 @@
             return ''
         now = self._clock.elapsed()
         if now - self._store_reported_at < REACHABILITY_TTL:
-            return 'others reach the store'
+            return 'other daemons reach the store'
         isolated = now - self._remote_reported_at >= REACHABILITY_TTL
         if (
             self._follower.time_since_answer > PARTITION_TIMEOUT
             and isolated
             and self._has_remote_members()
         ):
-            return 'data centre is cut off'
+            return 'data centre is partitioned'
         return ''
 
     def _has_remote_members(self) -> bool:
--- a/quetzalcourse/coordination/feeds/relay_peers.py
+++ b/quetzalcourse/coordination/feeds/relay_peers.py
@@ -1,9 +1,9 @@
-"""Daemons by which this one reaches the store while that turns it away.
+"""Peers that can relay store calls while the store refuses this daemon.
 
-The load that this answers: for some seconds the store refuses a third of the
-daemons, or their way to it is cut, and serves the others. Trainers go on to
-submit and read at those daemons, since the balancer needs two seconds to
-send them elsewhere, and each batch that is refused costs its step as long.
+For some seconds the store may refuse a third of the daemons, or be unreachable
+for them, and serve the others. Trainers keep submitting and reading at those
+daemons, since the load balancer needs two seconds to redirect them, and each
+rejected batch delays its step by as long.
 """
 
 from __future__ import annotations
@@ -22,23 +22,25 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
-# Age until which another daemon's report counts.
+# Maximum age of another daemon's report.
 REACHABILITY_TTL = timedelta(seconds=1)
 # Time that a call waits for the first report of another daemon.
 REPORT_TIMEOUT = timedelta(milliseconds=50)
-# Calls within this time share one question to the other daemons.
+# Calls within this time share one request for reports.
 REQUEST_INTERVAL = timedelta(milliseconds=100)
 LONG_AGO = timedelta(days=-1)
 
 
 class RelayPeers:
-    """Knows which daemons the store answers, as they say themselves.
+    """Tracks which daemons the store answers, by their own reports.
 
-    :param follower: table by which the store's answers here are judged.
+    :param follower: table whose answers show whether the store is available
+        here.
+    :ivar report_request: set when the other daemons should be asked to report.
     """
 
     def __init__(self, follower: TableFollower, clock: Clock) -> None:
-        """Begin without a report from anyone."""
+        """Start without any report."""
         self.report_request = asyncio.Event()
         self._follower = follower
         self._clock = clock
@@ -49,18 +51,18 @@
         self._may_relay: Callable[[Member], bool] = _allow_all
 
     def restrict(self, may_relay: Callable[[Member], bool]) -> None:
-        """Ask only some daemons for help from now on."""
+        """Limit relaying to the peers for which a check holds."""
         self._may_relay = may_relay
 
     @property
     def needed(self) -> bool:
-        """Whether the store fails to answer this daemon."""
+        """Whether the store is unavailable to this daemon."""
         return self._follower.store_unavailable
 
     def on_report(self, sender: Member, *, hears_store: bool) -> None:
-        """Take the report of another daemon.
+        """Record a report of another daemon.
 
-        :param hears_store: whether the store answers that one.
+        :param hears_store: whether the store answers that daemon.
         """
         if not hears_store:
             self._reports.pop(sender.vm, None)
@@ -69,11 +71,11 @@
         self._report_received.set()
 
     def on_failure(self, peer: Member) -> None:
-        """Learn that a daemon did not answer, or can't help any more."""
+        """Forget a peer that did not answer or can no longer relay."""
         self._reports.pop(peer.vm, None)
 
     def find(self) -> Member | None:
-        """Find a daemon that the store answers, at random among them."""
+        """Find a random peer that the store answers."""
         oldest = self._clock.elapsed() - REACHABILITY_TTL
         fresh = [
             member
@@ -83,7 +85,7 @@
         return self._random.choice(fresh) if fresh else None
 
     async def find_or_wait(self) -> Member | None:
-        """Find a daemon, and ask the others at once if none is known."""
+        """Find a peer; if none is known, request reports and wait briefly."""
         found = self.find()
         if found is not None:
             return found
@@ -97,5 +99,5 @@
 
 
 def _allow_all(_: Member) -> bool:
-    """Let every daemon help."""
+    """Allow every peer to relay."""
     return True
--- a/quetzalcourse/coordination/feeds/store_calls.py
+++ b/quetzalcourse/coordination/feeds/store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store on their way by another daemon."""
+"""Messages of store calls that another daemon relays."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
     @property
     def tables(self) -> set[str]:
-        """Tables that are meant."""
+        """Tables that the call touches."""
         return {_find_table(self.key)}
 
 
 class ScanCall(msgspec.Struct, frozen=True, tag='scan'):
-    """Read rows in the order of their keys."""
+    """Read rows in key order."""
 
     prefix: str
     after: str
@@ -42,15 +42,15 @@
 
     @property
     def tables(self) -> set[str]:
-        """Tables that are meant."""
+        """Tables that the call touches."""
         return {_find_table(self.prefix)}
 
 
 class TransactCall(msgspec.Struct, frozen=True, tag='transact'):
-    """Write rows together if every condition holds.
+    """Write rows atomically if every condition holds.
 
     :param conditions: keys with the versions that they must have.
-    :param writes: keys with their new contents, none to remove the row.
+    :param writes: keys with their new contents, ``None`` to delete the row.
     """
 
     conditions: list[tuple[str, int]]
@@ -58,13 +58,16 @@
 
     @property
     def tables(self) -> set[str]:
-        """Tables that are meant."""
+        """Tables that the call touches."""
         keys = [key for key, _ in (*self.conditions, *self.writes)]
         return {_find_table(key) for key in keys}
 
 
 class FollowCall(msgspec.Struct, frozen=True, tag='follow'):
-    """Wait for the changes of a table behind a version."""
+    """Wait for the changes of a table after a version.
+
+    :param wait_ms: how long the store may hold the call.
+    """
 
     table: str
     version: int
@@ -72,7 +75,7 @@
 
     @property
     def tables(self) -> set[str]:
-        """Tables that are meant."""
+        """Tables that the call touches."""
         return {self.table}
 
 
@@ -83,7 +86,7 @@
 
     @property
     def tables(self) -> set[str]:
-        """Tables that are meant."""
+        """Tables that the call touches."""
         return {self.table}
 
 
@@ -95,7 +98,7 @@
 
     @property
     def tables(self) -> set[str]:
-        """Tables that are meant."""
+        """Tables that the call touches."""
         return {self.table}
 
 
@@ -110,9 +113,9 @@
 
 
 class StoreRequest(msgspec.Struct, frozen=True):
-    """A call that another daemon is to make.
+    """A call that another daemon should make.
 
-    :param number: which call of the sender it is.
+    :param number: sequence number of the call at the sender.
     """
 
     number: int
@@ -120,11 +123,15 @@
 
 
 class StoreReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the store answered.
+    """The store's answer to a relayed call.
 
-    :param number: call that is answered.
+    :param number: sequence number of the answered call.
     :param fault: kind of the failure, empty if there was none.
-    :param version: of the rows just written, or the newest one known.
+    :param step: operation that failed.
+    :param peer: address of the store.
+    :param history_lost: whether the rows must be read again, since the changes
+        asked for are no longer available.
+    :param version: version of the rows just written, or the newest known.
     :param applied: whether a transaction took effect.
     """
 
@@ -139,14 +146,14 @@
     applied: bool = False
 
     def decode_rows(self) -> list[Row]:
-        """Read the rows."""
+        """Decode the rows."""
         return [
             Row(row.key, row.content, row.version, row.removed)
             for row in self.rows
         ]
 
     def decode_fault(self) -> StoreFault:
-        """Read the failure."""
+        """Decode the failure."""
         return StoreFault(
             FaultKind(self.fault), self.step, self.peer, self.history_lost
         )
@@ -157,7 +164,7 @@
 
 
 def encode_transaction(transaction: Transaction) -> TransactCall:
-    """Write a transaction as a call."""
+    """Encode a transaction as a call."""
     return TransactCall(
         [(one.key, one.version) for one in transaction.conditions],
         [(one.key, one.content) for one in transaction.writes],
@@ -165,7 +172,7 @@
 
 
 def decode_transaction(call: TransactCall) -> Transaction:
-    """Read a transaction from a call."""
+    """Decode the transaction of a call."""
     return Transaction(
         tuple(Condition(key, version) for key, version in call.conditions),
         tuple(Write(key, content) for key, content in call.writes),
@@ -173,7 +180,7 @@
 
 
 def encode_rows(rows: list[Row] | tuple[Row, ...]) -> list[RowUpdate]:
-    """Write rows for another daemon."""
+    """Encode rows for another daemon."""
     return [
         RowUpdate(row.key, row.content, row.version, row.removed)
         for row in rows
@@ -181,7 +188,7 @@
 
 
 def encode_fault(number: int, fault: StoreFault) -> StoreReply:
-    """Write a failure for another daemon."""
+    """Encode a failure for another daemon."""
     return StoreReply(
         number,
         fault.kind.value,
@@ -192,20 +199,20 @@
 
 
 def decode_commit(reply: StoreReply) -> Commit:
-    """Read what became of a transaction."""
+    """Decode the outcome of a transaction."""
     return Commit(reply.applied, tuple(reply.decode_rows()), reply.version)
 
 
 def decode_changes(reply: StoreReply) -> Changes:
-    """Read changes of a table."""
+    """Decode the changes of a table."""
     return Changes(tuple(reply.decode_rows()), reply.version)
 
 
 def decode_row(reply: StoreReply) -> Row | None:
-    """Read the one row, ``None`` if there is none."""
+    """Decode the single row, ``None`` if there is none."""
     return next(iter(reply.decode_rows()), None)
 
 
 def to_result(reply: StoreReply) -> Result[StoreReply, StoreFault]:
-    """Tell an answer from a failure."""
+    """Convert a reply to a result."""
     return Err(reply.decode_fault()) if reply.fault else Ok(reply)
--- a/quetzalcourse/coordination/feeds/store_relay.py
+++ b/quetzalcourse/coordination/feeds/store_relay.py
@@ -1,9 +1,8 @@
-"""The store by way of another daemon, while it turns this one away.
+"""Store access through another daemon while the store refuses this one.
 
-Rows of batches and of members are reached so: what a daemon owns goes on
-under the same conditions as ever, so that a deposed owner's write fails by
-whichever daemon it comes. Leases are not: who acts for all must reach the
-store itself.
+Rows of batches and members may be relayed: each write keeps its conditions,
+so a deposed owner's write fails whichever daemon sends it. Leases may not:
+a daemon that acts for all must reach the store itself.
 """
 
 from __future__ import annotations
@@ -36,25 +35,26 @@
 
 Value = TypeVar('Value')
 
-# A store that is slow takes some 300 ms; a daemon that has not answered by
-# then is gone or turned away itself, and the next call goes to another.
+# A slow store takes some 300 ms. A peer that has not answered after this time
+# is dead or refused itself, and the next call goes to another one.
 RELAY_TIMEOUT = timedelta(milliseconds=800)
-# Calls that one daemon makes for others at a time. A third of the daemons
-# turned away, with three tables followed and a few writes each, are some
+# Calls that one daemon makes for others at a time. If a third of the daemons
+# are refused, with three followed tables and a few writes each, that is some
 # ten calls for each of the rest.
 MAX_RELAYED_CALLS = 64
-# Daemons that are asked to make a call, one after another: in the moment in
-# which the store turns a third of them away, the word of each is a second
-# old, and one in three can't help any more.
+# Peers to try one after another. When the store starts to refuse a third of
+# the daemons, each report is up to a second old, and one peer in three can no
+# longer relay.
 MAX_RELAY_ATTEMPTS = 3
+# Sent as the step of a declined call; callers compare it.
 NOT_RELAYED = 'not helped'
 log = get_log('relay')
 
 
 class StoreRelay:
-    """Table and changes, directly or by way of another daemon.
+    """Accesses tables and change feeds directly or through another daemon.
 
-    :param tables: what may be reached by way of others.
+    :param tables: tables that may be accessed through peers.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         tables: Collection[str],
         counters: Counters,
     ) -> None:
-        """Listen to calls of others and to their answers."""
+        """Subscribe to calls of other daemons and to their replies."""
         self._table = table
         self._feed = feed
         self._peers = peers
@@ -94,7 +94,7 @@
         after: str = '',
         limit: int = 1000,
     ) -> Result[list[Row], StoreFault]:
-        """Read rows in the order of their keys."""
+        """Read rows in key order."""
         return await self._call(
             lambda: self._table.scan(prefix, after, limit),
             calls.ScanCall(prefix, after, limit),
@@ -105,7 +105,7 @@
         self,
         transaction: Transaction,
     ) -> Result[Commit, StoreFault]:
-        """Write rows together if every condition holds."""
+        """Write rows atomically if every condition holds."""
         return await self._call(
             lambda: self._table.transact(transaction),
             calls.encode_transaction(transaction),
@@ -138,7 +138,7 @@
         version: int,
         wait: timedelta,
     ) -> Result[Changes, StoreFault]:
-        """Wait for the changes behind a version."""
+        """Wait for the changes after a version."""
         call = calls.FollowCall(table, version, wait // calls.MILLISECOND)
         return await self._call(
             lambda: self._feed.follow(table, version, wait),
@@ -148,7 +148,7 @@
         )
 
     def on_request(self, sender: Member, content: bytes) -> None:
-        """Make a call for another daemon."""
+        """Make a call for another daemon, or decline it."""
         request = msgspec.msgpack.decode(content, type=calls.StoreRequest)
         accepting = (
             self._active_calls < MAX_RELAYED_CALLS
@@ -161,11 +161,11 @@
         self._send_reply(sender, calls.encode_fault(request.number, fault))
 
     def on_reply(self, sender: Member, content: bytes) -> None:
-        """Take the answer to a call."""
+        """Complete the pending call that a reply answers."""
         reply = msgspec.msgpack.decode(content, type=calls.StoreReply)
-        waiting = self._pending.get(reply.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(reply)
+        future = self._pending.get(reply.number)
+        if future is not None and not future.done():
+            future.set_result(reply)
 
     async def _call(
         self,
@@ -174,9 +174,12 @@
         decode: Callable[[calls.StoreReply], Value],
         wait: timedelta = timedelta(0),
     ) -> Result[Value, StoreFault]:
-        """Make a call directly, or by way of another daemon.
+        """Make a call directly, or through a peer.
 
-        :param wait: how long the store itself may take to answer.
+        :param direct: makes the call to the store itself.
+        :param call: the same call, as sent to a peer.
+        :param decode: decodes the peer's reply.
+        :param wait: how long the store itself may hold the call.
         """
         answer = None
         if not self._relay_peers.needed:
@@ -201,15 +204,15 @@
         timeout: timedelta,
     ) -> ReplyResult:
         number = next(self._numbers)
-        waiting = asyncio.get_running_loop().create_future()
-        self._pending[number] = waiting
+        future = asyncio.get_running_loop().create_future()
+        self._pending[number] = future
         request = calls.StoreRequest(number, call)
         self._peers.send(
             peer, Topic.store_asked, msgspec.msgpack.encode(request)
         )
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                reply = await waiting
+                reply = await future
         except TimeoutError:
             self._relay_peers.on_failure(peer)
             answer: ReplyResult = Err(
@@ -226,7 +229,7 @@
         )
         if isinstance(answer, Err):
             log.info(
-                'Call by way of another daemon failed.',
+                'Relayed store call failed.',
                 call=kind,
                 peer=peer.address,
                 reason=answer.err_value.step,
@@ -305,10 +308,10 @@
 
 
 def _may_retry_through_peer(answer: Result[Value, StoreFault]) -> bool:
-    """Tell whether a call may be made again by way of another daemon.
+    """Tell whether a failed call may be repeated through a peer.
 
-    A write without an answer may have taken effect. Its caller has to know,
-    since its own condition may fail then.
+    An unanswered write may have taken effect. The caller has to know, since a
+    repeated write may then fail on its own condition.
     """
     if not isinstance(answer, Err):
         return False
@@ -317,7 +320,7 @@
 
 
 def _is_declined(answer: ReplyResult) -> bool:
-    """Tell whether a daemon made no call, so that another may be asked."""
+    """Tell whether a peer made no call, so that another one may be tried."""
     return isinstance(answer, Err) and answer.err_value.step == NOT_RELAYED
 
 
--- a/quetzalcourse/coordination/feeds/wall_clock.py
+++ b/quetzalcourse/coordination/feeds/wall_clock.py
@@ -1,4 +1,4 @@
-"""Calendar time that all daemons tell alike, also where a VM's jumped."""
+"""Wall clock time that all daemons agree on, even if a VM's clock jumps."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class WallClockEstimate:
-    """The store's steady clock, put on the wall clock by most daemons.
+    """The store's monotonic clock plus the median wall clock offset.
 
-    The wall clock of a VM may jump by seconds while the others' do not.
-    Windows of usage that go by it alone would count requests twice or in
-    the wrong window. So each daemon tells how far its own wall clock is from
-    the store's clock, and the median of all counts: it stays right as long
-    as more than half of the calendars are.
+    The wall clock of one VM may jump by seconds while those of others do not.
+    Usage windows based on it alone would count requests twice or in the wrong
+    window. So each daemon reports the offset of its wall clock from the store's
+    clock, and all use the median, which is right as long as more than half of
+    the wall clocks are.
 
-    It is a :class:`~quetzalcourse.state.clock.Clock` for whoever needs the
-    wall clock; steady time is the machine's own.
+    It is a :class:`~quetzalcourse.state.clock.Clock` for users of wall clock
+    time; its monotonic time is the machine's own.
     """
 
     def __init__(self, clock: Clock, store_clock: StoreClock) -> None:
-        """Begin with the machine's own wall clock."""
+        """Start with the machine's own wall clock."""
         self._clock = clock
         self._store_clock = store_clock
         self._offsets: dict[str, timedelta] = {}
@@ -35,11 +35,11 @@
         self._stale = False
 
     def elapsed(self) -> timedelta:
-        """Tell the steady time of this machine."""
+        """Return this machine's monotonic time."""
         return self._clock.elapsed()
 
     def now(self) -> datetime:
-        """Tell the wall clock time in UTC that most daemons agree on."""
+        """Return the wall clock time in UTC that most daemons agree on."""
         store_now = self._store_clock.estimate()
         median = self._find_median_offset()
         if store_now is None or median is None:
@@ -51,9 +51,9 @@
         await self._clock.sleep(duration)
 
     def find_offset(self) -> timedelta | None:
-        """Tell how far this machine's wall clock is ahead of the store's clock.
+        """Measure how far this machine's wall clock is ahead of the store's.
 
-        :returns: the difference, ``None`` before the store's first answer.
+        :returns: the offset, ``None`` before the store's first answer.
         """
         store_now = self._store_clock.estimate()
         if store_now is None:
@@ -61,10 +61,10 @@
         return self._clock.now() - EPOCH - store_now
 
     def on_offset(self, vm: str, offset: timedelta) -> None:
-        """Take what a daemon said of its wall clock.
+        """Record the wall clock offset that a daemon reports.
 
-        A daemon that is gone goes on counting: the difference that it told
-        stays as true as it was.
+        The offset of a dead daemon keeps counting, since it stays as valid as
+        it was.
         """
         if self._offsets.get(vm) == offset:
             return
@@ -72,8 +72,8 @@
         self._stale = True
 
     def _find_median_offset(self) -> timedelta | None:
-        # Offsets of hundreds of daemons come with every answer of the store,
-        # far more often than anybody asks for the time.
+        # Hundreds of daemons report offsets with every answer of the store, far
+        # more often than the time is read.
         if self._stale:
             self._median = median_low(self._offsets.values())
             self._stale = False
