--- a/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
@@ -1,4 +1,4 @@
-"""Daemons whose rows stand still while they live, and those that are gone."""
+"""Liveness of daemons whose heartbeat rows stop, alive and dead."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class World:
-    """Two daemons; the row of the far one is written once only."""
+    """Two daemons; the row of the far one is written only once."""
 
     def __init__(self) -> None:
-        """Begin with both rows known."""
+        """Start with the far daemon's row known."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.far_reaches_store = True
@@ -51,7 +51,7 @@
         self.near.on_rows([self._write(FAR)])
 
     async def pass_time(self, duration: timedelta) -> None:
-        """Let the near daemon ask while time passes."""
+        """Let the near daemon probe while time passes."""
         for _ in range(duration // PROBE_INTERVAL):
             self.probes.probe()
             await settle()
@@ -89,8 +89,8 @@
         )
 
 
-async def test_daemon_whose_row_stands_still_is_live() -> None:
-    """Guards against deposing owners while a part of the store is away."""
+async def test_daemon_that_answers_pings_is_live_without_new_rows() -> None:
+    """Guards against deposing owners while part of the store is unavailable."""
     world = World()
     await world.pass_time(LIVENESS_TIMEOUT * 4)
     assert world.sees_far()
@@ -98,10 +98,10 @@
 
 
 @pytest.mark.parametrize('warm_up', [timedelta(0), LIVENESS_TIMEOUT * 3])
-async def test_death_is_noticed_as_soon_as_by_the_row(
+async def test_dead_daemon_is_noticed_within_the_liveness_timeout(
     warm_up: timedelta,
 ) -> None:
-    """Guards against probes that keep a dead daemon's work waiting."""
+    """Guards against probes that delay the takeover of a dead daemon's work."""
     world = World()
     await world.pass_time(warm_up)
     world.network.leave(FAR)
@@ -109,16 +109,18 @@
     assert not world.sees_far()
 
 
-async def test_daemon_that_reaches_no_store_is_not_live() -> None:
-    """Guards against an owner that answers and can commit nothing."""
+async def test_daemon_without_the_store_is_not_live() -> None:
+    """Guards against an owner that answers pings but can commit nothing."""
     world = World()
     world.far_reaches_store = False
     await world.pass_time(LIVENESS_TIMEOUT + PROBE_INTERVAL)
     assert not world.sees_far()
 
 
-async def test_answer_of_a_later_run_says_nothing_of_the_one_before() -> None:
-    """Guards against a restarted daemon that keeps its lost batches."""
+async def test_pong_of_a_later_run_does_not_keep_the_previous_one_live() -> (
+    None
+):
+    """Guards against a restarted daemon that keeps the batches it lost."""
     world = World()
     await world.pass_time(LIVENESS_TIMEOUT / 2)
     world.near.on_pong(Member('vm-f', 'vm-f:2', 'hall-f', 'f:1'))
@@ -127,8 +129,8 @@
     assert not world.sees_far()
 
 
-async def test_daemon_that_writes_in_time_is_not_asked() -> None:
-    """Guards against messages that grow with the square of the daemons."""
+async def test_daemon_that_writes_in_time_is_not_probed() -> None:
+    """Guards against probes whose number grows as the square of the daemons."""
     world = World()
     await world.pass_time(HEARTBEAT_INTERVAL)
     assert not any(
--- a/quetzalcourse/tests/coordination/feeds/readiness_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/readiness_tests.py
@@ -1,4 +1,4 @@
-"""Whether a daemon that the store does not answer takes new callers."""
+"""Readiness for new callers of a daemon that the store does not answer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeMembers:
-    """Daemons that were known before the store fell silent."""
+    """Daemons that were known before the store stopped answering."""
 
     def __init__(self, *others: Member) -> None:
         """Keep the others."""
@@ -41,18 +41,18 @@
         """Never call the listener."""
 
 
-class SilentFeed:
-    """Feed that nobody follows."""
+class UnusedFeed:
+    """Feed that is never followed."""
 
 
 class ReadinessWorld:
-    """A daemon whose store has just fallen silent."""
+    """A daemon whose store has just stopped answering."""
 
     def __init__(self, *others: Member) -> None:
-        """Begin with the last answer of the store."""
+        """Start at the last answer of the store."""
         self.clock = FakeClock()
         self.follower = TableFollower(
-            SilentFeed(),  # type: ignore[arg-type]
+            UnusedFeed(),  # type: ignore[arg-type]
             'op',
             self.clock,
             Counters(),
@@ -67,9 +67,9 @@
         *answering: Member,
         hears_store: bool = False,
     ) -> bool:
-        """Let others answer four times a second.
+        """Let other daemons report four times a second.
 
-        :returns: whether callers are welcome in the end.
+        :returns: whether the daemon is ready at the end.
         """
         end = self.clock.elapsed() + duration
         while self.clock.elapsed() < end:
@@ -82,44 +82,44 @@
 LONGER_THAN_TIMEOUT = PARTITION_TIMEOUT + REPORT_INTERVAL
 
 
-def test_data_centre_that_is_cut_off_sends_callers_elsewhere() -> None:
-    # A data centre is cut from the others and from the store; its callers
-    # still reach it. Each of their batches would be refused for as long as
-    # the cut lasts, though daemons elsewhere could take it.
+def test_daemon_in_a_partitioned_data_centre_is_not_ready() -> None:
+    # A data centre is partitioned from the others and from the store, while its
+    # callers still reach it. Each of their batches would be rejected for the
+    # length of the partition, though daemons elsewhere could take them.
     world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     assert not world.pass_time(LONGER_THAN_TIMEOUT, NEIGHBOUR)
 
 
-def test_daemon_that_the_store_turns_away_sends_callers_elsewhere() -> None:
+def test_daemon_that_the_store_refuses_is_not_ready() -> None:
     # The store refuses one daemon and serves its neighbours.
     world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     assert not world.pass_time(LONGER_THAN_TIMEOUT, NEIGHBOUR, hears_store=True)
 
 
-def test_callers_are_served_while_the_store_is_down_for_all() -> None:
-    # Were every daemon to say that it is not ready, lookups would fail too.
+def test_daemon_is_ready_while_the_store_is_down_for_all() -> None:
+    # If every daemon reported that it is not ready, lookups would fail too.
     world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     assert world.pass_time(LONGER_THAN_TIMEOUT, NEIGHBOUR, OUTSIDER)
 
 
 @pytest.mark.parametrize('others', [(), (NEIGHBOUR,)])
-def test_callers_are_served_where_nobody_is_better_off(
+def test_daemon_is_ready_without_members_in_other_data_centres(
     others: tuple[Member, ...],
 ) -> None:
-    # A daemon alone, or with daemons of its own data centre only, has nobody
-    # to send its callers to.
+    # A daemon alone, or with peers in its own data centre only, has no other
+    # place to send its callers to.
     assert ReadinessWorld(*others).pass_time(LONGER_THAN_TIMEOUT)
 
 
-def test_short_silence_of_the_store_changes_nothing() -> None:
+def test_daemon_stays_ready_through_a_short_silence_of_the_store() -> None:
     # A single answer of the store is late or lost.
     world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     assert world.pass_time(timedelta(seconds=1), NEIGHBOUR, hears_store=True)
 
 
-def test_word_of_others_wears_off() -> None:
-    # The others reached the store, and then the store goes down for them
-    # too: this daemon is as good as any again.
+def test_reports_of_other_daemons_expire() -> None:
+    # The other daemons reached the store, and then it fails for them too: this
+    # daemon serves callers as well as any again.
     world = ReadinessWorld(NEIGHBOUR, OUTSIDER)
     assert not world.pass_time(LONGER_THAN_TIMEOUT, OUTSIDER, hears_store=True)
     assert world.pass_time(LONGER_THAN_TIMEOUT, OUTSIDER)
--- a/quetzalcourse/tests/coordination/feeds/store_relay_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/store_relay_tests.py
@@ -1,4 +1,4 @@
-"""Calls to the store by way of other daemons, some of which can't help."""
+"""Store calls through other daemons, some of which can't relay."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class World:
-    """Daemons before one store, some of which it turns away."""
+    """Daemons in front of one store that refuses some of them."""
 
     def __init__(self) -> None:
-        """Begin with a store that turns the first daemon away."""
+        """Start with a store that refuses the first daemon."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.feed = FakeFeed(self.clock)
@@ -40,7 +40,7 @@
             self.relay_peers.on_report(other, hears_store=True)
 
     def refuse(self, count: int) -> None:
-        """Turn some of the others away as well, which nobody knows yet."""
+        """Refuse some of the others as well, before their reports say so."""
         for other in OTHERS[:count]:
             self.refused[other.vm] = True
 
@@ -62,10 +62,10 @@
 
 
 @pytest.mark.parametrize('attempt', range(8))
-async def test_call_goes_on_to_a_daemon_that_can_help(attempt: int) -> None:
-    # The store turns a third of the daemons away at one moment. A trainer's
-    # submission at one of them was refused, since the daemon that should
-    # pass it on had been turned away as well.
+async def test_call_is_retried_until_a_peer_can_relay(attempt: int) -> None:
+    # The store starts to refuse a third of the daemons at once. A trainer's
+    # submission at one of them was rejected, since the daemon that should relay
+    # it was refused as well.
     world = World()
     world.refuse(len(OTHERS) - 1)
     answer = await world.caller.transact(WRITE)
@@ -73,12 +73,12 @@
     assert KEY in world.feed.rows
 
 
-async def test_call_is_given_up_where_nobody_can_help() -> None:
-    """Its caller is told that it has not run."""
+async def test_call_fails_if_no_peer_can_relay() -> None:
+    """The caller is told that the call did not run."""
     world = World()
     world.refuse(len(OTHERS))
     answer = await world.caller.transact(WRITE)
     assert answer.is_err()
     assert not world.feed.rows
-    asked = [sent for sent in world.network.sent if sent[2] == 'store_asked']
-    assert len(asked) <= MAX_RELAY_ATTEMPTS
+    attempts = [sent for sent in world.network.sent if sent[2] == 'store_asked']
+    assert len(attempts) <= MAX_RELAY_ATTEMPTS
--- a/quetzalcourse/tests/coordination/feeds/wall_clock_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/wall_clock_tests.py
@@ -1,4 +1,4 @@
-"""Calendar time while the calendars of some VMs jump."""
+"""Wall clock estimate while the clocks of some VMs jump."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class FakeStoreClock:
-    """Store's clock; it is unknown until the store has answered."""
+    """Store's clock; unknown until the store has answered."""
 
     def __init__(self, clock: FakeClock) -> None:
-        """Begin without an answer."""
+        """Start without an answer."""
         self.answered = False
         self._clock = clock
 
@@ -29,38 +29,38 @@
 
 
 class WallClockWorld:
-    """One daemon's wall_clock, and what the others told of theirs."""
+    """One daemon's estimate, and the offsets that the others reported."""
 
     def __init__(self) -> None:
-        """Begin with a store that has answered and three true calendars."""
+        """Start with a store that has answered and three correct clocks."""
         self.clock = FakeClock()
         self.store_clock = FakeStoreClock(self.clock)
         self.wall_clock = WallClockEstimate(self.clock, self.store_clock)
-        self.true_clock = FakeClock()
+        self.correct_clock = FakeClock()
         self.store_clock.answered = True
         for vm in VMS:
             self.report_offset(vm)
 
     def report_offset(self, vm: str) -> None:
-        """Let a daemon tell this machine's present difference as its own."""
+        """Report this machine's current offset as that of a VM."""
         offset = self.wall_clock.find_offset()
         assert offset is not None
         self.wall_clock.on_offset(vm, offset)
 
 
-def test_calendar_that_jumped_is_outvoted() -> None:
-    # The wall_clock of one VM jumps ahead by half a minute. Its requests would
-    # be counted in windows that the others have not begun, and its reports
-    # would close windows that are still open: accounts pay too little.
+def test_clock_that_jumped_is_outvoted() -> None:
+    # The wall clock of one VM jumps ahead by half a minute. Its requests would
+    # be counted in windows that the others have not started, and its reports
+    # would close windows that are still open: accounts are billed too little.
     world = WallClockWorld()
     world.clock.calendar_error = timedelta(seconds=30)
     world.report_offset('vm-0')
-    assert world.wall_clock.now() == world.true_clock.now()
+    assert world.wall_clock.now() == world.correct_clock.now()
 
 
-def test_requests_are_counted_in_the_true_window() -> None:
-    # The wall_clock jumps back while requests run and forth again later, so
-    # the same request would be counted in a window that was reported.
+def test_requests_are_counted_in_the_correct_window() -> None:
+    # The wall clock jumps back while requests run and forward again later, so
+    # the same request would be counted in a window that was already reported.
     world = WallClockWorld()
     counts = WindowCounts(world.wall_clock, WINDOW, lambda: None)
     counts.record('a')
@@ -71,7 +71,7 @@
     assert list(counts.describe().values()) == [{'a': 3}]
 
 
-def test_own_calendar_counts_before_the_store_has_answered() -> None:
+def test_own_clock_is_used_before_the_store_has_answered() -> None:
     world = WallClockWorld()
     world.store_clock.answered = False
     world.clock.calendar_error = timedelta(seconds=2)
@@ -79,8 +79,8 @@
     assert world.wall_clock.now() == world.clock.now()
 
 
-def test_most_calendars_decide() -> None:
-    # All VMs were corrected together: their word counts, not the old one.
+def test_majority_of_the_clocks_decides() -> None:
+    # All VMs were corrected together: their new offset counts, not the old one.
     world = WallClockWorld()
     world.clock.calendar_error = timedelta(seconds=4)
     for vm in VMS[:2]:
