--- a/quetzalcourse/coordination/membership/__init__.py
+++ b/quetzalcourse/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which daemons are live, and what is cut off."""
+"""Gossip membership of the daemons, and what is unreachable."""
--- a/quetzalcourse/coordination/membership/member_list.py
+++ b/quetzalcourse/coordination/membership/member_list.py
@@ -1,4 +1,4 @@
-"""List of known daemons, built of the news that is told of them."""
+"""List of known daemons, merged from their own and others' reports."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 @dataclass(slots=True)
 class Entry:
-    """What is held of one daemon.
+    """Latest change of one daemon.
 
-    :param since: when its standing last changed, by the own clock.
+    :param since: when it was recorded, by the local monotonic clock.
     """
 
     change: Change
@@ -33,9 +33,9 @@
 
 @dataclass(slots=True)
 class PendingGossip:
-    """News that is still being passed on.
+    """Change that is still being disseminated.
 
-    :param remaining: in how many more messages it goes out.
+    :param remaining: number of messages that it is still added to.
     """
 
     change: Change
@@ -43,16 +43,16 @@
 
 
 class MemberList:
-    """Merges news of daemons; the order in which it arrives is no matter."""
+    """Merges changes of daemons, in whichever order they arrive."""
 
     def __init__(self) -> None:
-        """Begin with nobody."""
+        """Start with an empty list."""
         self.entries: dict[str, Entry] = {}
         self._pending_gossip: dict[str, PendingGossip] = {}
         self._hashes: dict[str, int] | None = None
 
     def find(self, incarnation: str) -> Change | None:
-        """Find the news that is held of a daemon."""
+        """Find the latest change of a daemon."""
         entry = self.entries.get(incarnation)
         return entry.change if entry else None
 
@@ -65,7 +65,7 @@
         ]
 
     def record(self, change: Change, now: timedelta) -> None:
-        """Hold news as it is, and pass it on."""
+        """Store a change unconditionally and disseminate it."""
         self.entries[change.incarnation] = Entry(change, now)
         count = len(self.entries)
         remaining = RETRANSMIT_FACTOR * math.ceil(math.log2(count + 1))
@@ -75,11 +75,11 @@
         self._hashes = None
 
     def merge(self, change: Change, now: timedelta) -> bool:
-        """Take news in if it says more than what is held.
+        """Merge a change if it supersedes the known one.
 
-        Others may have lost a daemon that is well heard here, as after a
-        partition. Their word that it is gone therefore only casts suspicion,
-        unless the daemon is suspect here too or said itself that it leaves.
+        Others may have lost a daemon that still answers here, as after a
+        partition. Their report that it is gone therefore only makes it a
+        suspect, unless it is one here already or has announced that it leaves.
 
         :returns: whether anything changed.
         """
@@ -89,10 +89,10 @@
             if not gone:
                 self.record(change, now)
             return not gone
-        held = entry.change
-        if not change.beats(held):
+        known = entry.change
+        if not change.beats(known):
             return False
-        if gone and held.standing is Standing.alive and not change.leaving:
+        if gone and known.standing is Standing.alive and not change.leaving:
             change = describe(
                 change.read_member(), change.counter, Standing.suspect
             )
@@ -102,26 +102,26 @@
     def escalate(
         self, member: Member, standing: Standing, now: timedelta
     ) -> bool:
-        """Change the standing of a daemon on own evidence.
+        """Raise the standing of a daemon on this daemon's own evidence.
 
-        :returns: whether the evidence changed anything.
+        :returns: whether anything changed.
         """
-        held = self.find(member.incarnation)
-        if held is None or held.standing >= standing:
+        known = self.find(member.incarnation)
+        if known is None or known.standing >= standing:
             return False
-        self.record(describe(held.read_member(), held.counter, standing), now)
+        self.record(describe(known.read_member(), known.counter, standing), now)
         return True
 
-    def expire(self, suspicion: timedelta, now: timedelta) -> bool:
-        """Take suspects for gone in time, and forget those long gone.
+    def expire(self, suspicion_timeout: timedelta, now: timedelta) -> bool:
+        """Mark suspects as gone after a timeout, and drop those long gone.
 
-        :param suspicion: how long a suspect may take to refute.
+        :param suspicion_timeout: time that a suspect has to refute.
         """
         changed = False
         for incarnation, entry in tuple(self.entries.items()):
             age = now - entry.since
             standing = entry.change.standing
-            if standing is Standing.suspect and age >= suspicion:
+            if standing is Standing.suspect and age >= suspicion_timeout:
                 member = entry.change.read_member()
                 changed = self.escalate(member, Standing.gone, now) or changed
             elif standing is Standing.gone and age >= GONE_RETENTION:
@@ -129,12 +129,12 @@
         return changed
 
     def shift(self, pause: timedelta) -> None:
-        """Leave the length of an own pause out of every age."""
+        """Exclude a pause of this process from every age."""
         for entry in self.entries.values():
             entry.since += pause
 
     def take_gossip(self, count: int) -> list[Change]:
-        """Choose the news that was passed on least."""
+        """Take the changes that were sent least often."""
         chosen = sorted(
             self._pending_gossip.values(),
             key=lambda pending: -pending.remaining,
@@ -146,20 +146,20 @@
         return [pending.change for pending in chosen]
 
     def hash_data_centres(self) -> dict[str, int]:
-        """Hash the list of each data centre; equal lists hash equally."""
+        """Hash the list of each data centre; equal lists have equal hashes."""
         if self._hashes is None:
             self._hashes = _hash_data_centres(self.list_present())
         return self._hashes
 
     def hash_all(self) -> int:
         """Hash the list of all data centres."""
-        whole = 0
+        combined = 0
         for part in self.hash_data_centres().values():
-            whole ^= part
-        return whole
+            combined ^= part
+        return combined
 
     def list_different(self, hashes: dict[str, int]) -> list[Change]:
-        """List the news of the data centres whose hash is another one."""
+        """List the changes of the data centres whose hashes differ."""
         own = self.hash_data_centres()
         return [
             entry.change
--- a/quetzalcourse/coordination/membership/membership.py
+++ b/quetzalcourse/coordination/membership/membership.py
@@ -1,4 +1,4 @@
-"""Membership: which daemons are live, by heartbeats to random peers."""
+"""SWIM-style membership: live daemons, by heartbeats to random peers."""
 
 from __future__ import annotations
 
@@ -37,13 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipTimings:
-    """Rates and patience of the heartbeats.
+    """Intervals and timeouts of the heartbeats.
 
     :param tick: time between two heartbeats within the data centre.
     :param remote_ticks: ticks between two heartbeats to other data centres.
     :param probe_timeout: time after which a heartbeat counts as unanswered.
     :param suspicion_timeout: time that a suspect has to refute.
-    :param view_request_interval: least time between two whole-view requests.
+    :param view_request_interval: minimum time between two requests for a full
+        member list.
     """
 
     tick: timedelta = timedelta(milliseconds=500)
@@ -55,11 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """What a daemon holds, so that others notice a difference.
+    """Summary of a daemon's state, by which others notice a difference.
 
     :param manifest: version in force.
     :param keys: hash of the known key changes.
-    :param news_age: age of the newest word from the store, if there was any.
+    :param news_age: age of the latest known read of the store, if there was
+        any.
     """
 
     manifest: int = 0
@@ -68,11 +70,11 @@
 
 
 class Membership:
-    """Keeps the list of live daemons.
+    """Maintains the list of live daemons.
 
     :param own: this daemon.
     :param random: source of every random choice.
-    :ivar build_digest: tells what this daemon holds, for each heartbeat.
+    :ivar build_digest: summarizes this daemon's state for each heartbeat.
     """
 
     def __init__(
@@ -84,7 +86,7 @@
         counters: Counters,
         timings: MembershipTimings | None = None,
     ) -> None:
-        """Begin alone."""
+        """Start with this daemon alone."""
         self.own = own
         self.build_digest: Callable[[], Digest] = Digest
         self._peers = peers
@@ -117,19 +119,22 @@
         ]
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever the list of live daemons changed."""
+        """Register a listener for changes of the list of live daemons."""
         self._listeners.append(listener)
 
     def on_digest(self, listener: Callable[[Member, Digest], None]) -> None:
-        """Call a listener with what each heartbeat says of its sender."""
+        """Register a listener for the digests in others' heartbeats."""
         self._digest_listeners.append(listener)
 
     def replace_seeds(self, addresses: Iterable[str]) -> None:
-        """Name addresses at which daemons may be; this evicts nobody."""
+        """Set the addresses to contact if no live daemon is known there.
+
+        An address that is left out does not remove a daemon from the list.
+        """
         self._seeds = tuple(sorted(set(addresses) - {self.own.address}))
 
     def note_leaving(self, addresses: Iterable[str]) -> None:
-        """Mark daemons whose VMs the platform is about to take away.
+        """Mark daemons whose VMs the platform is about to remove.
 
         :param addresses: where they listen for other daemons.
         """
@@ -144,16 +149,16 @@
         self._refresh_live()
 
     def on_own_change(self, listener: Callable[[Member], None]) -> None:
-        """Call a listener whenever the own member changed."""
+        """Register a listener for changes of this daemon's own record."""
         self._own_listeners.append(listener)
 
     def announce_leaving(self) -> None:
-        """Tell the others that this daemon began its graceful shutdown."""
+        """Announce the graceful shutdown of this daemon."""
         if not self.own.leaving:
             self._publish_own(replace(self.own, leaving=True))
 
     def announce_gone(self) -> None:
-        """Tell some daemons that this one ends now."""
+        """Tell some daemons that this one terminates now."""
         self._counter += 1
         change = describe(self.own, self._counter, Standing.gone)
         others = [peer for peer in self._live if peer != self.own]
@@ -168,15 +173,15 @@
             await self._clock.sleep(self._timings.tick)
 
     def tick(self) -> None:
-        """Judge silences and send the heartbeats that are due."""
+        """Check the open probes and send the heartbeats that are due."""
         now = self._clock.elapsed()
         elapsed = now - self._last_tick
         self._last_tick = now
         self._ticks += 1
         if elapsed > self._timings.tick * PAUSE_FACTOR:
-            # This process stood still, so answers that came meanwhile are
-            # still unread. Judging others now would evict live daemons in
-            # bulk after each own pause.
+            # This process was paused, so answers received meanwhile are still
+            # unread. Checking probes now would evict live daemons in bulk after
+            # each such pause.
             self._member_list.shift(elapsed)
             self._probes.shift(elapsed)
             self._views_agreed_at += elapsed
@@ -231,9 +236,9 @@
         self._send(target, HeartbeatKind.ping, changes=suspicions)
 
     def _list_suspicions(self, member: Member) -> list[Change]:
-        """List what a daemon has to refute if it hears this."""
-        held = self._member_list.find(member.incarnation)
-        return [held] if held is not None and held.standing else []
+        """List the suspicion of a daemon, for it to refute."""
+        known = self._member_list.find(member.incarnation)
+        return [known] if known is not None and known.standing else []
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
@@ -259,7 +264,7 @@
     def _on_direct_message(
         self, sender: Member, counter: int, now: timedelta
     ) -> bool:
-        """Take a message from a daemon itself as the best news of it."""
+        """Mark the sender of a message as alive, and tell who asked for it."""
         self._probes.resolve(sender.incarnation)
         for requester in self._probes.take_requesters(sender.address):
             self._send(
@@ -268,15 +273,15 @@
         changed = self._member_list.merge(
             describe(sender, counter, Standing.alive), now
         )
-        held = self._member_list.find(sender.incarnation)
-        if held is not None and held.standing is not Standing.gone:
+        known = self._member_list.find(sender.incarnation)
+        if known is not None and known.standing is not Standing.gone:
             changed = self._evict_replaced(sender, now) or changed
         return changed
 
     def _evict_replaced(self, sender: Member, now: timedelta) -> bool:
-        # Only one process can listen on an address. Without this the run
-        # before a VM's replacement would count as live until probes failed,
-        # and they don't fail while its successor answers.
+        # Only one process can listen on an address. Without this, the run on a
+        # VM before its replacement would count as live until its probes failed,
+        # and they don't fail while the successor answers them.
         replaced = [
             change.read_member()
             for change in self._member_list.list_present()
@@ -329,8 +334,9 @@
         if view == self._member_list.hash_all():
             self._views_agreed_at = now
             return
-        # News on its way makes lists differ for a moment; only a difference
-        # that lasts, or a list that has just begun, is worth a whole view.
+        # Lists differ for a moment while changes spread. A full list is
+        # requested only if the difference lasts, or if this daemon has just
+        # started.
         wait = self._timings.view_request_interval * (1 + self._random.random())
         alone = len(self._live) <= 2
         if alone or now - self._views_agreed_at > wait:
@@ -344,8 +350,8 @@
     def _send_view(self, receiver: Member, hashes: dict[str, int]) -> None:
         different = self._member_list.list_different(hashes)
         for start in range(0, len(different), CHANGES_PER_VIEW):
-            chunk = different[start : start + CHANGES_PER_VIEW]
-            self._send(receiver, HeartbeatKind.view, changes=chunk)
+            batch = different[start : start + CHANGES_PER_VIEW]
+            self._send(receiver, HeartbeatKind.view, changes=batch)
 
     def _send(
         self,
@@ -356,16 +362,18 @@
         hashes: dict[str, int] | None = None,
     ) -> None:
         digest = self.build_digest()
-        news = changes or []
+        outgoing = changes or []
         if kind in {HeartbeatKind.ping, HeartbeatKind.answer}:
-            news = news + self._member_list.take_gossip(CHANGES_PER_MESSAGE)
+            outgoing = outgoing + self._member_list.take_gossip(
+                CHANGES_PER_MESSAGE
+            )
         heartbeat = Heartbeat(
             kind,
             self._counter,
             digest.manifest,
             digest.keys,
             self._member_list.hash_all(),
-            news,
+            outgoing,
             subject,
             hashes or {},
             pack_age(digest.news_age),
@@ -374,7 +382,7 @@
         self._peers.send(receiver, Topic.heartbeat, content)
 
     def _publish_own(self, own: Member) -> None:
-        """Raise the own counter, so that the news beats what is told."""
+        """Publish the own record with a counter that beats older records."""
         self.own = own
         for listener in self._own_listeners:
             listener(own)
@@ -403,10 +411,10 @@
 
 
 def pack_age(age: timedelta | None) -> int:
-    """Write an age for a heartbeat, in milliseconds, -1 for none."""
+    """Encode an age for a heartbeat, in milliseconds, -1 for none."""
     return -1 if age is None else int(age / timedelta(milliseconds=1))
 
 
 def unpack_age(age: int) -> timedelta | None:
-    """Read an age from a heartbeat."""
+    """Decode an age from a heartbeat."""
     return None if age < 0 else timedelta(milliseconds=age)
--- a/quetzalcourse/coordination/membership/partitions.py
+++ b/quetzalcourse/coordination/membership/partitions.py
@@ -1,4 +1,4 @@
-"""What a daemon is cut off from, and since when."""
+"""What this daemon is partitioned from, and since when."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class StoreFreshness:
-    """Tells how old the newest word from the store is.
+    """Tracks the latest read of the store, by this daemon or another.
 
     Each heartbeat carries the age that its sender knows of, so a daemon that
-    rarely reads the store itself still knows that its data centre hears it.
+    rarely reads the store itself still knows that its data centre reaches it.
     """
 
     def __init__(self, poller: StorePoller, clock: Clock) -> None:
-        """Begin without any news."""
+        """Start without any read."""
         self._poller = poller
         self._clock = clock
         self._peer_read_at: timedelta | None = None
 
     def find_age(self) -> timedelta | None:
-        """Tell the age of the newest word, ``None`` if there was none."""
+        """Find the age of the latest known read, ``None`` if there was none."""
         times = [
             time
             for time in (self._peer_read_at, self._poller.last_read_at)
@@ -42,7 +42,7 @@
         return self._clock.elapsed() - max(times) if times else None
 
     def on_digest(self, _: Member, digest: Digest) -> None:
-        """Take the age that another daemon knows of."""
+        """Take over the age that another daemon reports, if it is lower."""
         if digest.news_age is None:
             return
         read_at = self._clock.elapsed() - digest.news_age
@@ -50,9 +50,9 @@
             self._peer_read_at = read_at
 
     def is_current(self, longest: timedelta | None) -> bool:
-        """Tell whether the news is recent enough to serve keys by.
+        """Tell whether the last read is recent enough to accept keys.
 
-        :param longest: age up to which it is, ``None`` for any age.
+        :param longest: maximum age, ``None`` for any.
         """
         if longest is None:
             return True
@@ -61,7 +61,7 @@
 
 
 class PartitionTracker:
-    """Keeps the list of what can't be reached.
+    """Tracks which data centres and whether the platform are unreachable.
 
     :param poller: knows whether the platform answers this daemon.
     """
@@ -73,7 +73,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Begin with nothing cut."""
+        """Start with everything reachable."""
         self._poller = poller
         self._members = members
         self._clock = clock
@@ -83,9 +83,9 @@
         members.on_change(self._on_members)
 
     def list_partitions(self) -> dict[str, datetime]:
-        """List what is cut, and since when.
+        """List what is unreachable, and since when.
 
-        :returns: times by ``platform`` or the data centre's name.
+        :returns: start times by ``platform`` or the data centre's name.
         """
         partitions = dict(self._lost_since)
         if self._poller.unreachable_since is not None:
@@ -93,13 +93,13 @@
         return partitions
 
     async def run(self) -> None:
-        """Keep the gauges up to date until cancelled."""
+        """Update the gauges until cancelled."""
         while True:
             self.update_gauges()
             await self._clock.sleep(GAUGE_INTERVAL)
 
     def update_gauges(self) -> None:
-        """Write the length of each cut into the metrics, 0 if healed."""
+        """Set the age of each partition in the metrics, 0 if it has healed."""
         now = self._clock.now()
         partitions = self.list_partitions()
         for name in (PLATFORM, *self._known_data_centres):
--- a/quetzalcourse/coordination/membership/status.py
+++ b/quetzalcourse/coordination/membership/status.py
@@ -1,4 +1,4 @@
-"""What the parts of a daemon say of themselves."""
+"""Status of the components of a daemon, for the status endpoint."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class StatusRegistry:
-    """Collects what ``/status`` shows."""
+    """Collects the content of ``/status``."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start without a source."""
         self._sources: dict[str, Callable[[], Any]] = {}
 
     def add(self, name: str, source: Callable[[], Any]) -> None:
-        """Show one more part.
+        """Register the status source of a component.
 
-        :param source: called for each request; gives what JSON can hold.
+        :param source: called for each request; returns JSON-serializable data.
         """
         self._sources[name] = source
 
     def collect(self) -> dict[str, Any]:
-        """Ask every part."""
+        """Read the status of every component."""
         return {name: source() for name, source in self._sources.items()}
