--- a/quetzalcourse/tests/coordination/membership/membership_tests.py
+++ b/quetzalcourse/tests/coordination/membership/membership_tests.py
@@ -1,4 +1,4 @@
-"""Membership under cuts, pauses, replacements and lost messages."""
+"""Membership under partitions, pauses, replacements and message loss."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class Cluster:
-    """Daemons on one fake network, ticked in turns.
+    """Daemons on one fake network, ticked in turn.
 
-    :param count: how many daemons, spread over two data centres.
+    :param count: number of daemons, spread over two data centres.
     """
 
     def __init__(self, count: int) -> None:
@@ -33,7 +33,7 @@
         self.counters = Counters()
         self.daemons: list[Membership] = []
         self.paused: set[int] = set()
-        self.largest_difference = 0
+        self.max_count_difference = 0
         for index in range(count):
             self.add(f'vm-{index}', f'10.0.0.{index}:7000', index)
 
@@ -63,17 +63,17 @@
                 if index not in self.paused:
                     daemon.tick()
             await settle()
-            lists = [
+            counts = [
                 len(daemon.list_live())
                 for index, daemon in enumerate(self.daemons)
                 if index not in self.paused
             ]
-            self.largest_difference = max(
-                self.largest_difference, max(lists) - min(lists)
+            self.max_count_difference = max(
+                self.max_count_difference, max(counts) - min(counts)
             )
 
     def count_live(self) -> list[int]:
-        """Tell how many daemons each one counts as live."""
+        """Count the daemons that each one considers live."""
         return [len(daemon.list_live()) for daemon in self.daemons]
 
 
@@ -87,7 +87,7 @@
         self._peers = network.peers[own.incarnation]
 
     def replace_own(self, own: Member) -> None:
-        """Name a changed member as the sender from now on."""
+        """Use a changed member as the sender from now on."""
         self._own = own
 
     def send(self, receiver: Member, topic: Topic, content: bytes) -> None:
@@ -101,22 +101,22 @@
             self._network.carry(self._own, found[-1], topic, content)
 
     def subscribe(self, topic, receive) -> None:  # type: ignore[no-untyped-def]
-        """Hand the messages of a topic to a handler."""
+        """Register a handler for the messages of a topic."""
         self._peers.subscribe(topic, receive)
 
 
 async def start(count: int) -> Cluster:
-    """Start a cluster whose lists agree."""
+    """Start a cluster and wait until its member lists agree."""
     cluster = Cluster(count)
     await cluster.run(30)
     assert cluster.count_live() == [count] * count
-    cluster.largest_difference = 0
+    cluster.max_count_difference = 0
     return cluster
 
 
-async def test_death_is_noticed_once_and_everywhere() -> None:
-    # A daemon is killed and says nothing. Callers of a slot owner that is
-    # thought live would wait for it, so all others drop it within seconds.
+async def test_killed_daemon_is_dropped_by_all_others() -> None:
+    # A daemon is killed without notice. Callers of a slot owner that is still
+    # considered live would wait for it, so all others drop it within seconds.
     cluster = await start(8)
     dead = cluster.daemons[5]
     cluster.network.leave(dead.own)
@@ -130,9 +130,9 @@
 
 @pytest.mark.parametrize('pause', [1.0, 2.0, 3.0])
 async def test_paused_daemon_is_not_evicted(pause: float) -> None:
-    # The machine stops a process for some seconds. If others dropped it, its
-    # slots and leases would move twice for nothing; if it judged others by
-    # the silence of its own pause, it would drop all of them at once.
+    # The machine pauses a process for some seconds. If others dropped it, its
+    # slots and leases would move twice for nothing; if it counted its own pause
+    # as silence of the others, it would drop all of them at once.
     cluster = await start(8)
     for _ in range(5):
         cluster.paused = {2, 3}
@@ -140,40 +140,40 @@
         cluster.paused = set()
         await cluster.run(6)
     assert cluster.count_live() == [8] * 8
-    assert cluster.largest_difference == 0
+    assert cluster.max_count_difference == 0
 
 
-async def test_pause_of_all_but_one_evicts_nobody() -> None:
-    # A hypervisor freezes a host with most daemons and lets them go on.
-    # Each wakes with open probes that are seconds old.
+async def test_pause_of_all_daemons_evicts_none() -> None:
+    # A hypervisor freezes a host with most daemons and resumes them. Each
+    # resumes with open probes that are seconds old.
     cluster = await start(6)
     cluster.clock.move(timedelta(seconds=60))
     await cluster.run(10)
     assert cluster.count_live() == [6] * 6
-    assert cluster.largest_difference == 0
+    assert cluster.max_count_difference == 0
 
 
-async def test_one_way_cut_evicts_nobody() -> None:
-    # A broken route loses messages from one daemon to another, one way
-    # only. Both still answer everybody else, so both stay on every list.
+async def test_one_way_message_loss_evicts_none() -> None:
+    # A broken route loses messages from one daemon to another, in one direction
+    # only. Both still answer all others, so both stay on every list.
     cluster = await start(6)
     first, second = cluster.daemons[0].own, cluster.daemons[2].own
     cluster.network.cut(first, second)
     await cluster.run(60)
     assert cluster.count_live() == [6] * 6
-    assert cluster.largest_difference == 0
+    assert cluster.max_count_difference == 0
 
 
-async def test_partition_heals() -> None:
-    # Two data centres lose each other for longer than gone daemons are
-    # remembered. Each side keeps its own, and afterwards the lists are whole
-    # again, without anyone having been dropped within a side.
+async def test_lists_are_complete_after_a_long_partition() -> None:
+    # Two data centres lose each other for longer than gone daemons are kept.
+    # Each side keeps its own daemons, and after the partition the lists are
+    # complete again, without any daemon having been dropped within a side.
     cluster = await start(8)
     sides = [cluster.daemons[0::2], cluster.daemons[1::2]]
-    for one in sides[0]:
+    for first in sides[0]:
         for other in sides[1]:
-            cluster.network.cut(one.own, other.own)
-            cluster.network.cut(other.own, one.own)
+            cluster.network.cut(first.own, other.own)
+            cluster.network.cut(other.own, first.own)
     await cluster.run(700)
     assert cluster.count_live() == [4] * 8
     cluster.network.heal()
@@ -187,15 +187,15 @@
     assert cluster.count_live() == [8] * 8
 
 
-async def test_short_partition_heals_without_evictions_within() -> None:
-    # The cut ends while each side still holds the other for gone. The word
+async def test_short_partition_evicts_none_within_a_data_centre() -> None:
+    # The partition ends while each side still lists the other as gone. Reports
     # of the other side must not make a data centre drop its own daemons.
     cluster = await start(8)
     sides = [cluster.daemons[0::2], cluster.daemons[1::2]]
-    for one in sides[0]:
+    for first in sides[0]:
         for other in sides[1]:
-            cluster.network.cut(one.own, other.own)
-            cluster.network.cut(other.own, one.own)
+            cluster.network.cut(first.own, other.own)
+            cluster.network.cut(other.own, first.own)
     await cluster.run(60)
     cluster.network.heal()
     for _ in range(80):
@@ -205,10 +205,10 @@
     assert cluster.count_live() == [8] * 8
 
 
-async def test_replacement_at_the_same_address() -> None:
-    # A VM is replaced within a second and keeps its address. Probes of the
-    # old run are answered by the new one, and only its name tells them
-    # apart; what the old one owned must not seem alive.
+async def test_replacement_evicts_the_previous_run() -> None:
+    # A VM is replaced within a second and keeps its address. Probes of the old
+    # run are answered by the new one, and only its incarnation tells them
+    # apart; what the old run owned must not look owned by a live daemon.
     cluster = await start(6)
     old = cluster.daemons[3]
     cluster.network.leave(old.own)
@@ -221,8 +221,8 @@
         assert old.own not in daemon.list_live()
 
 
-async def test_leaving_is_told_and_then_gone() -> None:
-    # A daemon that stops gracefully says so first, so that its work moves
+async def test_leaving_daemon_is_dropped_without_suspicion() -> None:
+    # A daemon that shuts down gracefully announces it, so that its work moves
     # before it ends, and leaves the lists without any suspicion.
     cluster = await start(6)
     leaving_daemon = cluster.daemons[1]
@@ -237,19 +237,19 @@
     cluster.network.leave(leaving_daemon.own)
     cluster.paused.add(1)
     await cluster.run(1)
-    told = [
+    counts = [
         len(daemon.list_live())
         for index, daemon in enumerate(cluster.daemons)
         if index != 1
     ]
-    assert told.count(5) >= 3
+    assert counts.count(5) >= 3
     await cluster.run(8)
     assert cluster.counters.read('suspicions') == before
 
 
-async def test_platform_tells_who_leaves() -> None:
-    # The platform's list says that a VM is about to go. One daemon reads it;
-    # all, the leaving one included, act on it.
+async def test_vm_that_the_platform_removes_is_marked_leaving() -> None:
+    # The platform's list says that a VM is about to be removed. One daemon
+    # reads it; all, the leaving one included, act on it.
     cluster = await start(6)
     cluster.daemons[0].note_leaving([cluster.daemons[4].own.address])
     await cluster.run(8)
@@ -258,8 +258,8 @@
         assert cluster.daemons[4].own in daemon.list_live()
 
 
-async def test_messages_stay_bounded() -> None:
-    # Load for control has to stay the same however many daemons there are.
+async def test_message_rate_does_not_grow_with_the_daemons() -> None:
+    # Control traffic per daemon must not grow with the number of daemons.
     sent = {}
     for count in (4, 16):
         cluster = await start(count)
@@ -271,10 +271,10 @@
 
 
 async def test_malformed_heartbeat_is_counted() -> None:
-    # Another program, or a newer version, sends bytes that are no heartbeat.
+    # Another program, or a newer release, sends bytes that are no heartbeat.
     cluster = await start(2)
-    one, other = cluster.daemons
-    peers = cluster.network.peers[one.own.incarnation]
+    first, other = cluster.daemons
+    peers = cluster.network.peers[first.own.incarnation]
     for content in (b'', b'\xff\x00', b'\x93\x01\x02\x03'):
         peers.send(other.own, Topic.heartbeat, content)
     await asyncio.sleep(0.01)
@@ -285,7 +285,7 @@
 
 
 @pytest.mark.parametrize(
-    ('first', 'second', 'beaten'),
+    ('first', 'second', 'expected'),
     [
         ((1, Standing.alive), (1, Standing.suspect), True),
         ((1, Standing.gone), (1, Standing.alive), False),
@@ -293,13 +293,13 @@
         ((2, Standing.suspect), (1, Standing.gone), False),
     ],
 )
-def test_news_are_ordered(
+def test_changes_are_ordered_by_counter_and_standing(
     first: tuple[int, Standing],
     second: tuple[int, Standing],
-    beaten: bool,
+    expected: bool,
 ) -> None:
     member = Member('vm', 'vm-a', 'lac-hall', '10.0.0.1:1')
-    assert describe(member, *second).beats(describe(member, *first)) is beaten
+    assert describe(member, *second).beats(describe(member, *first)) is expected
 
 
 @pytest.mark.parametrize(
@@ -310,18 +310,18 @@
         (Standing.alive, True, Standing.gone),
     ],
 )
-def test_word_of_others_casts_suspicion(
+def test_gone_report_only_suspects_a_live_daemon(
     held: Standing,
     leaving: bool,
     expected: Standing,
 ) -> None:
-    # Another data centre lost a daemon in a cut and says that it is gone.
-    # Believed at once, that would take a well heard daemon off the list.
-    roster = MemberList()
+    # Another data centre lost a daemon in a partition and reports it as gone.
+    # Believed at once, that would drop a daemon that still answers here.
+    member_list = MemberList()
     member = Member('vm', 'vm-a', 'lac-hall', '10.0.0.1:1', leaving)
     now = timedelta(0)
-    roster.merge(describe(member, 1, held), now)
-    roster.merge(describe(member, 1, Standing.gone), now)
-    found = roster.find('vm-a')
+    member_list.merge(describe(member, 1, held), now)
+    member_list.merge(describe(member, 1, Standing.gone), now)
+    found = member_list.find('vm-a')
     assert found is not None
     assert found.standing is expected
