--- a/quetzalcourse/coordination/manifest/__init__.py
+++ b/quetzalcourse/coordination/manifest/__init__.py
@@ -1,1 +1,1 @@
-"""The manifest and the keys in force."""
+"""Storage and gossip of the manifest and of API keys."""
--- a/quetzalcourse/coordination/manifest/gossip_peers.py
+++ b/quetzalcourse/coordination/manifest/gossip_peers.py
@@ -1,4 +1,4 @@
-"""Choice of the daemons that hear of news at once."""
+"""Choice of the peers to which a change is sent at once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def choose_gossip_peers(members: MemberView, random: Random) -> list[Member]:
-    """Choose whom to tell news at once; the rest hears it from them.
+    """Choose the peers to send a change to; they pass it on to the rest.
 
     :returns: a few daemons of the own data centre and one elsewhere.
     """
--- a/quetzalcourse/coordination/manifest/key_change_log.py
+++ b/quetzalcourse/coordination/manifest/key_change_log.py
@@ -1,4 +1,4 @@
-"""Changes of keys in the platform's table."""
+"""Log of API key changes in the platform's table."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def format_entry_key(sequence: int) -> str:
-    """Name the row of a change, so that rows sort by their sequence."""
+    """Format the row key of a change, so that rows sort by sequence."""
     return f'{LOG_PREFIX}{sequence:012d}'
 
 
 def decode_sequence(row: Row | None) -> int:
-    """Tell how many changes the table has; damaged bytes count as none."""
+    """Decode the number of changes in the log, 0 if it is malformed."""
     if row is None:
         return 0
     try:
@@ -43,21 +43,21 @@
 
 
 class KeyChangeLog:
-    """Appends changes to a log in the table and reads them from it.
+    """Appends key changes to a log in the table and reads them back.
 
     :param table: the platform's table.
     """
 
     def __init__(self, table: Table) -> None:
-        """Keep the table."""
+        """Use the given table."""
         self._table = table
 
     async def append(self, record: KeyRecord) -> Result[int, StoreFault]:
-        """Write a change.
+        """Append a change.
 
-        Writing one twice, as after a lost answer, only makes the log longer.
+        Appending one twice, as after a lost answer, only makes the log longer.
 
-        :returns: sequence of the change.
+        :returns: sequence number of the change.
         """
         for _ in range(MAX_ATTEMPTS):
             read = await self._table.read(KEYS_HEAD_KEY)
@@ -92,11 +92,11 @@
         self,
         sequence: int,
     ) -> Result[tuple[int, list[KeyRecord]], StoreFault]:
-        """Read the changes behind a sequence.
+        """Read the changes after a sequence number.
 
-        :param sequence: last change that is known.
-        :returns: sequence of the last change, and the changes; a damaged row
-            is left out.
+        :param sequence: number of the last known change.
+        :returns: number of the last change, and the changes; malformed rows are
+            skipped.
         """
         records: list[KeyRecord] = []
         while True:
--- a/quetzalcourse/coordination/manifest/key_gossip.py
+++ b/quetzalcourse/coordination/manifest/key_gossip.py
@@ -1,4 +1,4 @@
-"""Key changes on their way from daemon to daemon."""
+"""Gossip of API key changes between daemons."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 
 
 class KeyGossip:
-    """Passes key changes on, and compares what others know.
+    """Disseminates key changes and reconciles them with other daemons.
 
-    :param ring: holds the keys.
+    :param key_ring: the key changes known here.
     """
 
     def __init__(
         self,
-        ring: KeyRing,
+        key_ring: KeyRing,
         members: MemberView,
         peers: Peers,
         clock: Clock,
         random: Random,
         counters: Counters,
     ) -> None:
-        """Begin to listen."""
-        self._ring = ring
+        """Subscribe to key messages and to new records."""
+        self._key_ring = key_ring
         self._members = members
         self._peers = peers
         self._clock = clock
@@ -49,45 +49,45 @@
         self._counters = counters
         self._requested_at = clock.elapsed() - REQUEST_INTERVAL
         peers.subscribe(Topic.keys, self._receive)
-        ring.on_record(self._broadcast)
+        key_ring.on_record(self._broadcast)
 
     def on_digest(self, sender: Member, digest: Digest) -> None:
-        """Ask a daemon that knows other records for the difference."""
+        """Request the difference from a daemon whose records differ."""
         now = self._clock.elapsed()
-        if digest.keys == self._ring.hash_records():
+        if digest.keys == self._key_ring.hash_records():
             return
         if now - self._requested_at >= REQUEST_INTERVAL:
             self._requested_at = now
-            news = KeyNews(SpreadKind.ask, buckets=self._ring.buckets)
-            self._send(sender, news)
+            message = KeyNews(SpreadKind.ask, buckets=self._key_ring.buckets)
+            self._send(sender, message)
 
     def _broadcast(self, record: KeyRecord) -> None:
-        news = KeyNews(SpreadKind.contents, records=[record])
+        message = KeyNews(SpreadKind.contents, records=[record])
         for member in choose_gossip_peers(self._members, self._random):
-            self._send(member, news)
+            self._send(member, message)
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
-            news = msgspec.msgpack.decode(content, type=KeyNews)
+            message = msgspec.msgpack.decode(content, type=KeyNews)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._counters.add('peer_messages_dropped', reason='keys')
             return
-        # A single change is fresh news and is passed on; a list is the
-        # difference to one daemon, which the others compare for themselves.
-        fresh = len(news.records) == 1
-        for record in news.records:
-            self._ring.merge(record, notify=fresh)
-        if news.kind is SpreadKind.ask:
-            self._send_difference(sender, news.buckets)
+        # A single record is a new change and is passed on. A list is the
+        # difference to one daemon; the others reconcile it for themselves.
+        fresh = len(message.records) == 1
+        for record in message.records:
+            self._key_ring.merge(record, notify=fresh)
+        if message.kind is SpreadKind.ask:
+            self._send_difference(sender, message.buckets)
 
     def _send_difference(self, receiver: Member, buckets: list[int]) -> None:
-        if len(buckets) != len(self._ring.buckets):
+        if len(buckets) != len(self._key_ring.buckets):
             return
-        different = self._ring.list_different(buckets)
+        different = self._key_ring.list_different(buckets)
         for start in range(0, len(different), RECORDS_PER_MESSAGE):
             records = different[start : start + RECORDS_PER_MESSAGE]
             self._send(receiver, KeyNews(SpreadKind.contents, records))
 
-    def _send(self, receiver: Member, news: KeyNews) -> None:
-        content = msgspec.msgpack.encode(news)
+    def _send(self, receiver: Member, message: KeyNews) -> None:
+        content = msgspec.msgpack.encode(message)
         self._peers.send(receiver, Topic.keys, content)
--- a/quetzalcourse/coordination/manifest/keys.py
+++ b/quetzalcourse/coordination/manifest/keys.py
@@ -1,4 +1,4 @@
-"""Keys of client accounts: who may ask, and who no longer may."""
+"""API keys of client accounts: authentication, grants and withdrawals."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a request acts for.
+    """Account and key that a request was authenticated for.
 
-    :param key_id: public part of the key that came with the request.
+    :param key_id: public part of the request's key.
     """
 
     client_account: str
@@ -36,25 +36,24 @@
 
 
 def hash_secret(secret: str) -> str:
-    """Hash the secret part of a key as the manifest holds it."""
+    """Hash the secret part of a key, as stored in the manifest."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def match_secret(digest: str, secret: str) -> bool:
-    """Compare a secret with its hash, in time that tells nothing of either."""
+    """Compare a secret with its hash in constant time."""
     return hmac.compare_digest(digest, hash_secret(secret))
 
 
 class KeyRing:
-    """Keys that are granted and withdrawn.
+    """Granted and withdrawn keys.
 
-    Grants come from the manifest and from records. A withdrawal is a
-    tombstone and wins over every grant of the same key id, in whichever
-    order the two arrive.
+    Grants come from the manifest and from records. A withdrawal is a tombstone
+    and overrides every grant of the same key id, whichever arrives first.
     """
 
     def __init__(self) -> None:
-        """Begin without keys, so that every request is refused."""
+        """Start without keys, so that every request is refused."""
         self.is_current: Callable[[], bool] = lambda: True
         self.records: dict[str, KeyRecord] = {}
         self.buckets = [0] * BUCKET_COUNT
@@ -64,25 +63,25 @@
         self._record_listeners: list[Callable[[KeyRecord], None]] = []
 
     def replace_grants(self, keys: Iterable[KeyHash]) -> None:
-        """Take the granted keys of a manifest in place of those before."""
+        """Replace the grants of the previous manifest."""
         before = set(self._manifest_keys)
         self._manifest_keys = {key.key_id: key for key in keys}
         for key_id in before - set(self._manifest_keys):
             self._notify_if_withdrawn(key_id)
 
     def merge(self, record: KeyRecord, notify: bool = True) -> bool:
-        """Take in a change; the order in which changes arrive is no matter.
+        """Merge a change; changes may arrive in any order.
 
-        :param notify: whether others should hear of it from here.
-        :returns: whether the change was news.
+        :param notify: whether the record listeners are called.
+        :returns: whether the change was new.
         """
-        held = self.records.get(record.key_id)
-        joined = held.join(record) if held else record
-        if joined == held:
+        known = self.records.get(record.key_id)
+        joined = known.join(record) if known else record
+        if joined == known:
             return False
         self._toggle_hash(joined)
-        if held is not None:
-            self._toggle_hash(held)
+        if known is not None:
+            self._toggle_hash(known)
         self.records[record.key_id] = joined
         self._notify_if_withdrawn(record.key_id)
         if notify:
@@ -91,29 +90,29 @@
         return True
 
     def withdraw(self, key_id: str) -> None:
-        """Stop a key for good."""
+        """Withdraw a key permanently."""
         self.merge(bury(key_id))
 
     def is_withdrawn(self, key_id: str) -> bool:
-        """Tell whether a key was stopped or is no longer granted."""
-        held = self.records.get(key_id)
-        if held is not None and (held.withdrawn or held.digest):
-            return held.withdrawn
+        """Tell whether a key was withdrawn or is no longer granted."""
+        known = self.records.get(key_id)
+        if known is not None and (known.withdrawn or known.digest):
+            return known.withdrawn
         return key_id not in self._manifest_keys
 
     def on_withdrawn(self, listener: Callable[[str], None]) -> None:
-        """Call a listener with the id of each key that stops."""
+        """Register a listener for the ids of keys that become invalid."""
         self._withdrawn_listeners.append(listener)
 
     def on_record(self, listener: Callable[[KeyRecord], None]) -> None:
-        """Call a listener with each change that was news."""
+        """Register a listener for new changes."""
         self._record_listeners.append(listener)
 
     @contextmanager
     def watch(self, key_id: str) -> Iterator[asyncio.Event]:
-        """Give an event that is set when a key stops.
+        """Provide an event that is set when a key becomes invalid.
 
-        :param key_id: key of a request that is being served.
+        :param key_id: key of a request in progress.
         """
         event = asyncio.Event()
         if self.is_withdrawn(key_id):
@@ -128,14 +127,14 @@
                 self._watchers.pop(key_id)
 
     def hash_records(self) -> int:
-        """Hash all records; equal sets hash equally."""
-        whole = 0
+        """Hash all records; equal sets of records have equal hashes."""
+        combined = 0
         for number, bucket in enumerate(self.buckets):
-            whole ^= xxhash.xxh32_intdigest(b'%d %d' % (number, bucket))
-        return whole
+            combined ^= xxhash.xxh32_intdigest(b'%d %d' % (number, bucket))
+        return combined
 
     def list_different(self, buckets: list[int]) -> list[KeyRecord]:
-        """List the records of the buckets whose hash is another one."""
+        """List the records of the buckets whose hashes differ."""
         return [
             record
             for key_id, record in self.records.items()
@@ -144,23 +143,23 @@
         ]
 
     def authenticate(self, bearer: str) -> Result[Identity, Refusal]:
-        """Find the account of a key.
+        """Authenticate a key.
 
         :param bearer: the key, as ``KEY_ID.SECRET``.
-        :returns: the account, or the refusal that its caller is told.
+        :returns: its account, or the refusal to send to the caller.
         """
         key_id, _, secret = bearer.partition(KEY_SEPARATOR)
         granted: KeyHash | KeyRecord | None = self._manifest_keys.get(key_id)
-        held = self.records.get(key_id)
-        if granted is None and held is not None and held.digest:
-            granted = held
+        known = self.records.get(key_id)
+        if granted is None and known is not None and known.digest:
+            granted = known
         expected = granted.digest if granted else hash_secret('')
         # An unknown key id takes the same comparison as a known one, so the
-        # time of the answer does not tell which ids exist.
+        # response time does not reveal which ids exist.
         matches = match_secret(expected, secret)
         if granted is None or not matches or not secret:
             return Err(refuse_key(RefusalCode.unauthenticated))
-        if held is not None and held.withdrawn:
+        if known is not None and known.withdrawn:
             return Err(refuse_key(RefusalCode.key_withdrawn))
         if not self.is_current():
             return Err(refuse_key(RefusalCode.not_ready))
@@ -185,9 +184,9 @@
 
 
 def refuse_key(code: RefusalCode, not_run: bool = True) -> Refusal:
-    """Build the refusal for a key that does not open anything.
+    """Build the refusal for a key that is not accepted.
 
-    :param not_run: false if the request had begun when its key stopped.
+    :param not_run: false if the request had started when its key was withdrawn.
     """
     messages = {
         RefusalCode.unauthenticated: 'The key is missing or not known.',
--- a/quetzalcourse/coordination/manifest/manifest_gossip.py
+++ b/quetzalcourse/coordination/manifest/manifest_gossip.py
@@ -1,4 +1,4 @@
-"""Manifests on their way from daemon to daemon."""
+"""Gossip of manifest versions between daemons."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         random: Random,
         counters: Counters,
     ) -> None:
-        """Begin to listen."""
+        """Subscribe to manifest messages and to new manifests."""
         self._manifest = manifest
         self._members = members
         self._peers = peers
@@ -64,7 +64,7 @@
         manifest.on_manifest(self._broadcast)
 
     def on_digest(self, sender: Member, digest: Digest) -> None:
-        """Compare a heartbeat's version with the one in force."""
+        """Compare a heartbeat's manifest version with the one in force."""
         self._on_version(sender, digest.manifest)
 
     def _on_version(self, sender: Member, version: int) -> None:
@@ -78,9 +78,9 @@
             self._newest_seen = (version, sender)
             if fresh:
                 self._requested_at = now - REQUEST_INTERVAL
-        # A daemon that starts without the store asks nobody until several
-        # have told their versions. Taking the first one's would bring an
-        # old version into force for a moment if that one lags.
+        # A daemon that starts without the store requests nothing until several
+        # daemons have reported their versions. Taking the first one's would
+        # bring an old version into force for a moment if that daemon lags.
         starting = self._manifest.current.version == 0
         if starting and now - self._first_seen_at < STARTUP_WAIT:
             return
@@ -94,28 +94,28 @@
 
     def _receive(self, sender: Member, content: bytes) -> None:
         try:
-            news = msgspec.msgpack.decode(content, type=ManifestNews)
+            message = msgspec.msgpack.decode(content, type=ManifestNews)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._counters.add('peer_messages_dropped', reason='manifest')
             return
-        if news.kind is SpreadKind.announce:
-            self._on_version(sender, news.version)
-        elif news.kind is SpreadKind.ask:
+        if message.kind is SpreadKind.announce:
+            self._on_version(sender, message.version)
+        elif message.kind is SpreadKind.ask:
             self._send_head(sender)
-        elif news.kind is SpreadKind.head:
-            self._on_head(sender, news)
-        elif news.kind is SpreadKind.want:
-            self._send_contents(sender, news.wanted)
+        elif message.kind is SpreadKind.head:
+            self._on_head(sender, message)
+        elif message.kind is SpreadKind.want:
+            self._send_contents(sender, message.wanted)
         else:
-            self._on_contents(news)
+            self._on_contents(message)
 
-    def _on_head(self, sender: Member, news: ManifestNews) -> None:
+    def _on_head(self, sender: Member, message: ManifestNews) -> None:
         newest = self._manifest.current.version
         if self._pending is not None:
             newest = max(newest, self._pending.version - 1)
-        if news.version <= newest:
+        if message.version <= newest:
             return
-        head = ManifestHead(news.version, news.sections, news.accepted)
+        head = ManifestHead(message.version, message.sections, message.accepted)
         wanted = list_missing(head, self._manifest.sections)
         self._contents = {
             digest: content
@@ -127,61 +127,66 @@
         missing = sorted(set(wanted) - set(self._contents))
         if missing:
             version = self._manifest.head.version
-            news = ManifestNews(SpreadKind.want, version, wanted=missing)
-            self._send_news(sender, news)
+            message = ManifestNews(SpreadKind.want, version, wanted=missing)
+            self._send_message(sender, message)
 
-    def _on_contents(self, news: ManifestNews) -> None:
+    def _on_contents(self, message: ManifestNews) -> None:
         if self._pending is not None:
             known = set(self._pending.sections.values())
-            for digest, content in news.contents.items():
+            for digest, content in message.contents.items():
                 if digest in known:
                     self._contents[digest] = content
             self._apply_if_complete()
 
     def _apply_if_complete(self) -> None:
         head = self._pending
-        held = self._contents | self._manifest.sections
-        if head is None or list_missing(head, held):
+        available = self._contents | self._manifest.sections
+        if head is None or list_missing(head, available):
             return
         self._pending = None
         self._contents = {}
-        taken = self._manifest.apply(head, held)
-        if isinstance(taken, Err):
+        applied = self._manifest.apply(head, available)
+        if isinstance(applied, Err):
             self._counters.add('peer_messages_dropped', reason='manifest')
-            log.warning('Manifest refused.', reason=taken.err_value)
+            log.warning(
+                'Rejected a manifest from another daemon.',
+                reason=applied.err_value,
+            )
 
     def _send_head(self, receiver: Member) -> None:
         head = self._manifest.head
-        news = ManifestNews(
+        message = ManifestNews(
             SpreadKind.head, head.version, head.sections, head.accepted
         )
-        self._send_news(receiver, news)
+        self._send_message(receiver, message)
 
     def _send_contents(self, receiver: Member, wanted: list[str]) -> None:
-        batch: dict[str, bytes] = {}
+        contents: dict[str, bytes] = {}
         size = 0
         for digest in wanted:
             content = self._manifest.sections.get(digest)
             if content is None:
                 continue
-            if batch and size + len(content) > MAX_MESSAGE_BYTES:
-                self._send_batch(receiver, batch)
-                batch = {}
+            if contents and size + len(content) > MAX_MESSAGE_BYTES:
+                self._send_sections(receiver, contents)
+                contents = {}
                 size = 0
-            batch[digest] = content
+            contents[digest] = content
             size += len(content)
-        if batch:
-            self._send_batch(receiver, batch)
+        if contents:
+            self._send_sections(receiver, contents)
 
-    def _send_batch(self, receiver: Member, batch: dict[str, bytes]) -> None:
+    def _send_sections(
+        self, receiver: Member, contents: dict[str, bytes]
+    ) -> None:
         version = self._manifest.head.version
-        news = ManifestNews(SpreadKind.contents, version, contents=batch)
-        self._send_news(receiver, news)
+        message = ManifestNews(SpreadKind.contents, version, contents=contents)
+        self._send_message(receiver, message)
 
     def _send(self, receiver: Member, kind: SpreadKind) -> None:
         version = self._manifest.head.version
-        self._send_news(receiver, ManifestNews(kind, version))
+        self._send_message(receiver, ManifestNews(kind, version))
 
-    def _send_news(self, receiver: Member, news: ManifestNews) -> None:
-        content = msgspec.msgpack.encode(news)
+    def _send_message(self, receiver: Member, message: ManifestNews) -> None:
+        content = msgspec.msgpack.encode(message)
         self._peers.send(receiver, Topic.manifest, content)
--- a/quetzalcourse/coordination/manifest/manifest_store.py
+++ b/quetzalcourse/coordination/manifest/manifest_store.py
@@ -1,4 +1,4 @@
-"""The manifest in force, and its acceptance by compare-and-set."""
+"""Current manifest, and acceptance of new ones by compare-and-set."""
 
 from __future__ import annotations
 
@@ -47,14 +47,15 @@
 
 
 class ManifestStore:
-    """Holds the manifest in force and moves it upwards only.
+    """Holds the manifest in force; its version never decreases.
 
-    :param table: holds the row that names the accepted version.
+    :param table: holds the row of the accepted version.
     :param objects: holds the sections by content hash.
+    :ivar sections: sections of the manifest in force by content hash.
     """
 
     def __init__(self, table: Table, objects: ObjectStore) -> None:
-        """Begin with no manifest in force."""
+        """Start with no manifest in force."""
         self.current = Manifest()
         self.head = NO_HEAD
         self.sections: dict[str, bytes] = {}
@@ -63,11 +64,11 @@
         self._listeners: list[Callable[[Manifest], None]] = []
 
     def on_manifest(self, listener: Callable[[Manifest], None]) -> None:
-        """Call a listener with every manifest that comes into force."""
+        """Register a listener for manifests that come into force."""
         self._listeners.append(listener)
 
     def activate(self, manifest: Manifest) -> bool:
-        """Bring a manifest into force if it is newer than the one that is.
+        """Bring a manifest into force if it is newer than the current one.
 
         :param manifest: an accepted manifest.
         :returns: whether it came into force.
@@ -84,11 +85,11 @@
         head: ManifestHead,
         contents: dict[str, bytes],
     ) -> Result[bool, str]:
-        """Adopt a manifest whose sections are all at hand.
+        """Activate a manifest whose sections are all available.
 
         :param head: head of an accepted manifest.
-        :param contents: sections by content hash, with those held before.
-        :returns: whether it came into force, or what is wrong with it.
+        :param contents: sections by content hash, including those already held.
+        :returns: whether it came into force, or the reason that it is invalid.
         """
         if head.version <= self.current.version:
             return Ok(False)
@@ -108,7 +109,7 @@
         return Ok(self.activate(joined.ok_value))
 
     async def refresh(self) -> Result[int, StoreFault]:
-        """Read the accepted version and adopt it.
+        """Read the accepted version and activate it.
 
         :returns: version in force.
         """
@@ -120,9 +121,9 @@
     async def refresh_from_row(
         self, row: Row | None
     ) -> Result[int, StoreFault]:
-        """Adopt the version that a row names, with the store's sections.
+        """Activate the version of a head row, with the sections in the store.
 
-        :param row: the row :data:`MANIFEST_KEY` as it was read.
+        :param row: the row :data:`MANIFEST_KEY` as read.
         :returns: version in force.
         """
         read = _read_head(row)
@@ -138,9 +139,9 @@
                 return answer
             if answer.ok_value is not None:
                 contents[digest] = answer.ok_value
-        taken = self.apply(head, contents)
-        if isinstance(taken, Err):
-            return Err(_build_fault(taken.err_value))
+        applied = self.apply(head, contents)
+        if isinstance(applied, Err):
+            return Err(_build_fault(applied.err_value))
         return Ok(self.current.version)
 
     async def accept(
@@ -150,10 +151,10 @@
     ) -> Result[int, ManifestConflict | StoreFault]:
         """Store a manifest as the next version.
 
-        Asking again after a lost answer does no harm: a manifest that was
+        Repeating the call after a lost answer is safe: a manifest that was
         accepted is found by its fingerprint, even below a newer one.
 
-        :param manifest: what to accept; its own version is not looked at.
+        :param manifest: manifest to accept; its own version is ignored.
         :param replaces: version that the operator has seen.
         :returns: number of the accepted version.
         """
@@ -202,8 +203,8 @@
         self,
         head: ManifestHead,
     ) -> Result[int, ManifestConflict | StoreFault]:
-        # An answer lost after the write took effect looks like a failure;
-        # only the row itself tells which manifest won.
+        # If the answer is lost after the write took effect, this looks like a
+        # failure; only the row itself shows which manifest won.
         answer = await self._table.read(MANIFEST_KEY)
         if isinstance(answer, Err):
             return answer
--- a/quetzalcourse/coordination/manifest/sections.py
+++ b/quetzalcourse/coordination/manifest/sections.py
@@ -37,9 +37,9 @@
 
     :param version: number of the accepted manifest.
     :param sections: content hash of each section or part of one.
-    :param accepted: fingerprints of the last versions, by version; they tell
-        an operator whose answer was lost that the manifest had been accepted,
-        also when another one has replaced it since.
+    :param accepted: fingerprints of the last versions, by version. They show an
+        operator whose answer was lost that the manifest was accepted, even if
+        another one has replaced it since.
     """
 
     version: int
@@ -47,41 +47,41 @@
     accepted: dict[int, str] = field(default_factory=dict)
 
     def fingerprint(self) -> str:
-        """Name the content, whatever its version."""
+        """Compute a hash of the content, independent of the version."""
         return hash_content(msgspec.json.encode(self.sections, order='sorted'))
 
     def has_accepted(self, other: ManifestHead) -> bool:
-        """Tell whether another head is this one or was accepted before."""
+        """Tell whether another head is this one or one of its predecessors."""
         return self.accepted.get(other.version) == other.fingerprint()
 
     def make_successor(self, sections: dict[str, str]) -> ManifestHead:
-        """Make the head of the next version.
+        """Build the head of the next version.
 
         :param sections: content hashes of the next version.
         """
-        following = ManifestHead(self.version + 1, sections)
-        accepted = self.accepted | {following.version: following.fingerprint()}
-        oldest = following.version - MAX_ACCEPTED_VERSIONS
+        successor = ManifestHead(self.version + 1, sections)
+        accepted = self.accepted | {successor.version: successor.fingerprint()}
+        oldest = successor.version - MAX_ACCEPTED_VERSIONS
         kept = {
             version: fingerprint
             for version, fingerprint in accepted.items()
             if version > oldest
         }
-        return ManifestHead(following.version, sections, kept)
+        return ManifestHead(successor.version, sections, kept)
 
 
 NO_HEAD = ManifestHead(0, {})
 
 
 def hash_content(content: bytes) -> str:
-    """Name content by its SHA-256, cut to 128 bits."""
+    """Name content by its SHA-256, truncated to 128 bits."""
     return hashlib.sha256(content).hexdigest()[:HASH_LENGTH]
 
 
 def decode_head(content: bytes) -> Result[ManifestHead, str]:
-    """Read the row that names the accepted version.
+    """Decode the row that names the accepted version.
 
-    :returns: the head, or what is wrong with the bytes.
+    :returns: the head, or the decoding error.
     """
     try:
         return Ok(msgspec.json.decode(content, type=ManifestHead))
@@ -90,12 +90,12 @@
 
 
 def split_sections(manifest: Manifest) -> dict[str, bytes]:
-    """Encode each section on its own, so that unchanged ones keep their name.
+    """Encode each section separately, so that unchanged ones keep their hash.
 
-    A section of many entries is split by the hash of their names. A change
-    of one upstream among 890 then moves one part of about 30 entries.
+    A section of many entries is split by the hash of the entries' names. A
+    change of one upstream among 890 then transfers one part of some 30 entries.
 
-    :param manifest: what to split.
+    :param manifest: manifest to split.
     :returns: encoded section or part by its name.
     """
     encoded: dict[str, bytes] = {}
@@ -112,9 +112,9 @@
 
 
 def split_entries(entries: dict[str, Any]) -> dict[int, dict] | None:
-    """Spread entries over a power of two of parts.
+    """Distribute entries over a power of two of parts.
 
-    :returns: entries by part, or ``None`` if they are few enough for one.
+    :returns: entries by part, or ``None`` if they fit into one.
     """
     count = 1
     while count * ENTRIES_PER_PART < len(entries):
@@ -135,30 +135,30 @@
     """Rebuild a manifest from its sections.
 
     :param sections: encoded section or part by its name.
-    :returns: the manifest, or what is wrong with the bytes.
+    :returns: the manifest, or the decoding error.
     """
-    whole: dict[str, bytes] = {}
+    encoded_sections: dict[str, bytes] = {}
     parts: dict[str, list[bytes]] = {}
     for name, content in sections.items():
         section, separator, _ = name.partition(PART_SEPARATOR)
         if separator:
             parts.setdefault(section, []).append(content[1:-1])
         else:
-            whole[section] = content
-    for section, pieces in parts.items():
-        whole[section] = b'{' + b','.join(pieces) + b'}'
+            encoded_sections[section] = content
+    for section, encoded_parts in parts.items():
+        encoded_sections[section] = b'{' + b','.join(encoded_parts) + b'}'
     try:
-        return Ok(_decode(version, whole))
+        return Ok(_decode(version, encoded_sections))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Err(str(error))
 
 
 def list_missing(
     head: ManifestHead,
-    held: Iterable[str],
+    available: Iterable[str],
 ) -> list[str]:
-    """List the content hashes of a head that are not held yet."""
-    return sorted(set(head.sections.values()) - set(held))
+    """List the content hashes of a head that are not available yet."""
+    return sorted(set(head.sections.values()) - set(available))
 
 
 def _encode(section: Any) -> bytes:
--- a/quetzalcourse/coordination/manifest/store_poller.py
+++ b/quetzalcourse/coordination/manifest/store_poller.py
@@ -1,4 +1,4 @@
-"""Following the platform's store at a rate that daemons share."""
+"""Polls the store for manifest and key changes at a shared rate."""
 
 from __future__ import annotations
 
@@ -34,13 +34,15 @@
 
 
 class StorePoller:
-    """Reads what changed in the store, in turns with the data centre.
+    """Polls the store for changes, in turn with the data centre's daemons.
 
-    Each daemon waits as many intervals as daemons are live in its data
-    centre, so the store sees one read an interval however many there are;
-    what one finds it tells the others.
+    Each daemon waits as many intervals as there are live daemons in its data
+    centre, so the store gets one read per interval, however many there are.
+    What one daemon finds, it passes on to the others.
 
-    :param interval: time between two reads by the data centre.
+    :param interval: time between two reads by the whole data centre.
+    :ivar unreachable_since: when the reads started to fail, if they do.
+    :ivar last_read_at: start of the last successful read.
     """
 
     def __init__(
@@ -54,7 +56,7 @@
         random: Random,
         interval: timedelta,
     ) -> None:
-        """Begin with nothing read."""
+        """Start with nothing read."""
         self.unreachable_since: datetime | None = None
         self.last_read_at: timedelta | None = None
         self._table = table
@@ -69,7 +71,7 @@
         self._stored: dict[str, KeyRecord] = {}
 
     def list_unstored(self) -> list[KeyRecord]:
-        """List the key changes that the table does not have yet."""
+        """List the key changes that are not in the store's log yet."""
         return [
             record
             for key_id, record in self._key_ring.records.items()
@@ -77,25 +79,30 @@
         ]
 
     async def run(self) -> None:
-        """Read in turns until cancelled."""
-        last = self._clock.elapsed()
-        # Daemons that start together would otherwise read together.
-        jitter = self._random.random()
+        """Poll in turn until cancelled."""
+        last_poll = self._clock.elapsed()
+        # Daemons that start together would otherwise poll together.
+        jitter_factor = self._random.random()
         while True:
-            local = self._members.list_live(self._members.own.data_centre)
-            due = last + self._interval * len(local) * jitter
+            local_members = self._members.list_live(
+                self._members.own.data_centre
+            )
+            due = (
+                last_poll + self._interval * len(local_members) * jitter_factor
+            )
             wait = due - self._clock.elapsed()
             if wait > timedelta(0):
-                # The count of live daemons may fall meanwhile, as in a cut;
-                # a single long sleep would leave the store unread for long.
+                # The number of live daemons may drop meanwhile, as in a
+                # partition; after one long sleep the store would have been
+                # unread for too long.
                 await self._clock.sleep(min(wait, MAX_SLEEP))
                 continue
-            last = self._clock.elapsed()
-            jitter = self._draw_jitter()
+            last_poll = self._clock.elapsed()
+            jitter_factor = self._draw_jitter_factor()
             await self.poll()
 
     async def poll(self) -> None:
-        """Read once and take in what is new."""
+        """Read once and apply what has changed."""
         started_at = self._clock.elapsed()
         answer = await self._table.scan(HEADS_PREFIX)
         if isinstance(answer, Err):
@@ -115,15 +122,16 @@
         self.last_read_at = started_at
         if self.unreachable_since is not None:
             self.unreachable_since = None
-            log.info('Store is read again.')
+            log.info('Store readable again.')
 
     async def _poll_keys(self, row: Row | None) -> StoreFault | None:
         if decode_sequence(row) > self._sequence:
             read = await self._key_log.read_after(self._sequence)
             if isinstance(read, Err):
                 return read.err_value
-            # The whole log is read at the start; others know it already,
-            # and passing thousands of old changes on would be a storm.
+            # The first read returns the whole log. Other daemons know it
+            # already, and passing on thousands of old changes would flood
+            # them with messages.
             initial_load = self._sequence == 0
             sequence, records = read.ok_value
             self._sequence = sequence
@@ -144,7 +152,9 @@
     def _on_fault(self, fault: StoreFault) -> None:
         if self.unreachable_since is None:
             self.unreachable_since = self._clock.now()
-            log.warning('Store not read.', step=fault.step, peer=fault.peer)
+            log.warning(
+                'Could not read the store.', step=fault.step, peer=fault.peer
+            )
 
-    def _draw_jitter(self) -> float:
+    def _draw_jitter_factor(self) -> float:
         return 1 + JITTER * (2 * self._random.random() - 1)
