--- a/quetzalcourse/tests/coordination/manifest/keys_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/keys_tests.py
@@ -1,4 +1,4 @@
-"""A withdrawal wins over every grant, wherever and whenever it is heard."""
+"""Key withdrawals override grants, whatever the order of their arrival."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 def find_refusal_code(
     ring: KeyRing, bearer: str = BEARER_TOKEN
 ) -> RefusalCode | None:
-    """Tell why a key is refused, ``None`` if it works."""
+    """Find why a key is refused, ``None`` if it is accepted."""
     answer = ring.authenticate(bearer)
     return answer.err_value.code if isinstance(answer, Err) else None
 
 
 class Node:
-    """A daemon's keys, its follower of the store, and its spread."""
+    """A daemon's keys, its store poller and its key gossip."""
 
     def __init__(self, name: str, cluster: Cluster) -> None:
         """Join a cluster."""
@@ -53,7 +53,7 @@
         self.ring = KeyRing()
         self.counters = Counters()
         store = cluster.store
-        self.follower = StorePoller(
+        self.poller = StorePoller(
             store,
             ManifestStore(store, store),
             KeyChangeLog(store),
@@ -74,10 +74,10 @@
 
 
 class Cluster:
-    """Some daemons with one store."""
+    """Several daemons with one store."""
 
     def __init__(self, count: int) -> None:
-        """Start them without keys."""
+        """Start the daemons without keys."""
         self.store = FakeStore()
         self.network = FakeNetwork()
         self.clock = FakeClock()
@@ -85,7 +85,7 @@
         self.nodes = [Node(f'node-{index}', self) for index in range(count)]
 
     async def exchange_heartbeats(self) -> None:
-        """Let each node hear a heartbeat of each other."""
+        """Deliver a heartbeat of each node to each other one."""
         for node in self.nodes:
             for other in self.nodes:
                 if other is not node:
@@ -103,8 +103,10 @@
         (bury('desk'), GRANT, GRANT, bury('desk'), GRANT),
     ],
 )
-def test_withdrawal_wins_in_any_order(records: tuple[KeyRecord, ...]) -> None:
-    # An operator withdraws a key while another grants it again, and the two
+def test_withdrawal_overrides_grants_in_any_order(
+    records: tuple[KeyRecord, ...],
+) -> None:
+    # An operator withdraws a key while another one grants it again, and the two
     # changes arrive in different orders at different daemons.
     ring = KeyRing()
     for record in records:
@@ -114,7 +116,7 @@
     assert ring.is_withdrawn('desk')
 
 
-def test_grant_outside_the_manifest_works() -> None:
+def test_key_granted_outside_the_manifest_is_accepted() -> None:
     ring = KeyRing()
     ring.merge(GRANT)
     assert ring.authenticate(BEARER_TOKEN).unwrap().client_account == 'readers'
@@ -122,9 +124,9 @@
     assert find_refusal_code(ring, 'desk') is RefusalCode.unauthenticated
 
 
-def test_key_removed_from_the_manifest_ends() -> None:
-    # An operator takes a key out of the manifest instead of withdrawing it.
-    # Requests that are running on it must be told, as after a withdrawal.
+def test_key_removed_from_the_manifest_is_refused() -> None:
+    # An operator removes a key from the manifest instead of withdrawing it.
+    # Requests in progress with it must be notified, as after a withdrawal.
     ring = KeyRing()
     ring.replace_grants(MANIFEST_KEYS)
     ended: list[str] = []
@@ -138,51 +140,52 @@
 
 
 @pytest.mark.parametrize(
-    ('longest', 'waited', 'code'),
+    ('max_age_seconds', 'elapsed_seconds', 'code'),
     [(None, 9000, None), (60, 59, None), (60, 61, RefusalCode.not_ready)],
 )
-async def test_old_news_refuses_if_so_set(
-    longest: int | None,
-    waited: int,
+async def test_outdated_keys_are_refused_if_so_configured(
+    max_age_seconds: int | None,
+    elapsed_seconds: int,
     code: RefusalCode | None,
 ) -> None:
-    # The data centre is cut off from the platform. Whether keys still work
-    # after a while is the operators' choice.
+    # The data centre is partitioned from the platform. Whether keys are still
+    # accepted after a while is up to the operators' settings.
     cluster = Cluster(1)
     node = cluster.nodes[0]
-    news = StoreFreshness(node.follower, cluster.clock)
-    limit = timedelta(seconds=longest) if longest else None
-    node.ring.is_current = lambda: news.is_current(limit)
+    freshness = StoreFreshness(node.poller, cluster.clock)
+    max_age = timedelta(seconds=max_age_seconds) if max_age_seconds else None
+    node.ring.is_current = lambda: freshness.is_current(max_age)
     node.ring.merge(GRANT)
-    await node.follower.poll()
+    await node.poller.poll()
     cluster.store.down = True
-    cluster.clock.move(timedelta(seconds=waited))
-    await node.follower.poll()
+    cluster.clock.move(timedelta(seconds=elapsed_seconds))
+    await node.poller.poll()
     assert find_refusal_code(node.ring) is code
-    assert node.follower.unreachable_since is not None
+    assert node.poller.unreachable_since is not None
 
 
-async def test_news_of_others_counts() -> None:
-    # Of many daemons each reads the store rarely; the age of the newest word
-    # travels with the heartbeats, or idle readers would refuse for nothing.
+async def test_store_age_reported_by_others_is_used() -> None:
+    # With many daemons each one reads the store rarely. The age of the latest
+    # read travels with the heartbeats; otherwise idle daemons would refuse keys
+    # although their data centre reaches the store.
     cluster = Cluster(1)
-    news = StoreFreshness(cluster.nodes[0].follower, cluster.clock)
-    assert news.find_age() is None
-    news.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=5)))
-    news.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=9)))
+    freshness = StoreFreshness(cluster.nodes[0].poller, cluster.clock)
+    assert freshness.find_age() is None
+    freshness.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=5)))
+    freshness.on_digest(cluster.members[0], Digest(0, 0, timedelta(seconds=9)))
     cluster.clock.move(timedelta(seconds=2))
-    assert news.find_age() == timedelta(seconds=7)
+    assert freshness.find_age() == timedelta(seconds=7)
 
 
-async def test_withdrawal_spreads_in_a_cut_and_reaches_the_table() -> None:
-    # The data centre has lost the platform. A key is withdrawn at one
-    # daemon; the others must know within heartbeats, and the table must
-    # have it after the cut, also if that first daemon is gone by then.
+async def test_withdrawal_in_a_partition_reaches_peers_and_table() -> None:
+    # The data centre is partitioned from the platform. A key is withdrawn at
+    # one daemon; the others must know within heartbeats, and the table must
+    # have it after the partition, even if that first daemon is gone by then.
     cluster = Cluster(4)
     table = KeyChangeLog(cluster.store)
     (await table.append(GRANT)).unwrap()
     for node in cluster.nodes:
-        await node.follower.poll()
+        await node.poller.poll()
         assert find_refusal_code(node.ring) is None
     cluster.store.down = True
     cluster.nodes[0].ring.withdraw('desk')
@@ -191,32 +194,32 @@
     for node in cluster.nodes:
         assert find_refusal_code(node.ring) is RefusalCode.key_withdrawn
     cluster.store.down = False
-    await cluster.nodes[3].follower.poll()
+    await cluster.nodes[3].poller.poll()
     started = Node('node-new', cluster)
-    await started.follower.poll()
+    await started.poller.poll()
     assert find_refusal_code(started.ring) is RefusalCode.key_withdrawn
     for node in cluster.nodes[:3]:
-        await node.follower.poll()
+        await node.poller.poll()
     assert (await table.read_after(0)).unwrap()[0] == 2
 
 
 @pytest.mark.parametrize('fault', ['not_applied', 'lost_before', 'lost_after'])
-async def test_lost_write_of_a_withdrawal_is_repeated(fault: str) -> None:
-    # The table's answer is lost, or the write was. The change stays
-    # unstored until the table is known to have it.
+async def test_lost_write_of_a_withdrawal_is_retried(fault: str) -> None:
+    # The table's answer or the write itself is lost. The change stays unstored
+    # until the table is known to have it.
     cluster = Cluster(1)
     node = cluster.nodes[0]
     node.ring.withdraw('desk')
     cluster.store.write_faults.append(fault)
-    await node.follower.poll()
-    assert node.follower.list_unstored() == [bury('desk')]
-    await node.follower.poll()
-    assert node.follower.list_unstored() == []
+    await node.poller.poll()
+    assert node.poller.list_unstored() == [bury('desk')]
+    await node.poller.poll()
+    assert node.poller.list_unstored() == []
     _, records = (await KeyChangeLog(cluster.store).read_after(0)).unwrap()
     assert set(records) == {bury('desk')}
 
 
-async def test_operators_append_at_once() -> None:
+async def test_concurrent_appends_are_all_kept() -> None:
     # Two operators change keys at the same moment; neither change is lost.
     store = FakeStore()
     first, second = KeyChangeLog(store), KeyChangeLog(store)
@@ -228,9 +231,9 @@
     assert len(set(records)) == 10
 
 
-async def test_only_differences_travel() -> None:
-    # With thousands of withdrawn keys, one that a daemon missed must not
-    # bring all of them over the wire again.
+async def test_only_differing_buckets_are_transferred() -> None:
+    # With thousands of withdrawn keys, a single one that a daemon missed must
+    # not cause all of them to be transferred again.
     cluster = Cluster(2)
     one, other = cluster.nodes
     for number in range(2000):
@@ -245,14 +248,14 @@
     assert sent < 4000
 
 
-async def test_reads_stay_flat() -> None:
-    # Reads of the store must not grow with the daemons, nor stop when all
-    # but one of them are gone.
+async def test_read_rate_does_not_grow_with_the_daemons() -> None:
+    # The store's read rate must not grow with the number of daemons, nor drop
+    # to zero when all but one of them are gone.
     reads = {}
     for count in (1, 30):
         cluster = Cluster(count)
         tasks = [
-            asyncio.ensure_future(node.follower.run()) for node in cluster.nodes
+            asyncio.ensure_future(node.poller.run()) for node in cluster.nodes
         ]
         await cluster.clock.advance(timedelta(seconds=100))
         reads[count] = cluster.store.reads / 100
@@ -263,8 +266,8 @@
 
 
 @pytest.mark.parametrize('content', [b'', b'\xff', b'\x91\x09'])
-async def test_malformed_news_is_counted(content: bytes) -> None:
-    # A daemon of another release sends what this one can't read.
+async def test_malformed_key_message_is_counted(content: bytes) -> None:
+    # A daemon of another release sends bytes that this one can't decode.
     cluster = Cluster(2)
     one, other = cluster.nodes
     peers = cluster.network.peers[one.own.incarnation]
@@ -273,39 +276,39 @@
     assert other.counters.read('peer_messages_dropped', reason='keys') == 1
 
 
-class WithdrawalWins(RuleBasedStateMachine):
+class WithdrawalOverridesGrants(RuleBasedStateMachine):
     """Changes are made and exchanged anywhere, lost and repeated."""
 
     def __init__(self) -> None:
         """Start three rings without keys."""
         super().__init__()
         self.rings = [KeyRing() for _ in range(3)]
-        self.made: list[KeyRecord] = []
+        self.changes: list[KeyRecord] = []
         self.seen_withdrawn: list[set[str]] = [set() for _ in range(3)]
 
     @rule(key=integers(0, 2), withdrawn=booleans(), digest=integers(0, 2))
     def make(self, key: int, withdrawn: bool, digest: int) -> None:
-        """An operator asks for a change somewhere."""
+        """An operator requests a change."""
         record = KeyRecord(f'key-{key}', 'readers', hash_secret(str(digest)))
-        self.made.append(bury(f'key-{key}') if withdrawn else record)
+        self.changes.append(bury(f'key-{key}') if withdrawn else record)
 
     @rule(who=integers(0, 2), which=integers(0, 20))
     def deliver(self, who: int, which: int) -> None:
-        """Some change reaches a daemon, perhaps late or twice."""
-        if self.made:
-            record = self.made[which % len(self.made)]
+        """A change reaches a daemon, perhaps late or twice."""
+        if self.changes:
+            record = self.changes[which % len(self.changes)]
             self.rings[who].merge(record)
             if record.withdrawn:
                 self.seen_withdrawn[who].add(record.key_id)
 
     @rule(who=integers(0, 2), whom=integers(0, 2))
     def compare(self, who: int, whom: int) -> None:
-        """Two daemons exchange their differences."""
+        """Two daemons reconcile their records."""
         one, other = self.rings[who], self.rings[whom]
-        mine = one.list_different(other.buckets)
+        missing = one.list_different(other.buckets)
         for record in other.list_different(one.buckets):
             one.merge(record)
-        for record in mine:
+        for record in missing:
             other.merge(record)
         assert one.records == other.records
         assert one.hash_records() == other.hash_records()
@@ -322,8 +325,8 @@
         )
 
     @invariant()
-    def withdrawn_keys_open_nothing(self) -> None:
-        """A key whose withdrawal was heard works nowhere."""
+    def withdrawn_keys_are_refused(self) -> None:
+        """A daemon refuses every key whose withdrawal it has received."""
         for ring, withdrawn in zip(
             self.rings, self.seen_withdrawn, strict=True
         ):
@@ -334,7 +337,7 @@
                     assert isinstance(answer, Err)
 
 
-WithdrawalWins.TestCase.settings = settings(
+WithdrawalOverridesGrants.TestCase.settings = settings(
     max_examples=40, stateful_step_count=25, derandomize=True, deadline=None
 )
-TestWithdrawalWins = WithdrawalWins.TestCase
+TestWithdrawalOverridesGrants = WithdrawalOverridesGrants.TestCase
--- a/quetzalcourse/tests/coordination/manifest/manifest_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/manifest_tests.py
@@ -1,4 +1,4 @@
-"""Manifests are accepted once, travel in sections and never revert."""
+"""Manifests are accepted once, transferred in sections and never reverted."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def make_manifest(weight: float, upstreams: int = 1) -> Manifest:
-    """Make a manifest that differs by one weight."""
+    """Make a manifest that differs from others in one weight."""
     return Manifest(
         client_accounts={'desk': ClientAccount('desk', weight, 1.0, 1, 1)},
         upstreams={
@@ -61,7 +61,7 @@
 
 
 class Node:
-    """A daemon's keeper and spread on a fake network."""
+    """A daemon's manifest store and gossip on a fake network."""
 
     def __init__(
         self,
@@ -91,15 +91,15 @@
 
     @property
     def digest(self) -> Digest:
-        """What the node's heartbeats say."""
+        """Digest in the node's heartbeats."""
         return Digest(self.manifest_store.current.version)
 
 
 class Group:
-    """Some daemons that know one another."""
+    """Several daemons that know each other."""
 
     def __init__(self, count: int) -> None:
-        """Start them without a manifest."""
+        """Start the daemons without a manifest."""
         self.store = FakeStore()
         self.network = FakeNetwork()
         self.clock = FakeClock()
@@ -107,11 +107,11 @@
         self.nodes = [self.add(f'node-{index}') for index in range(count)]
 
     def add(self, name: str) -> Node:
-        """Start one more."""
+        """Start another daemon."""
         return Node(name, self.store, self.network, self.clock, self.members)
 
     async def exchange_heartbeats(self) -> None:
-        """Let each node hear a heartbeat of each other."""
+        """Deliver a heartbeat of each node to each other one."""
         self.clock.move(timedelta(seconds=1))
         for node in self.nodes:
             for other in self.nodes:
@@ -121,15 +121,15 @@
 
 
 @pytest.mark.parametrize('count', [0, 1, 32, 33, 890])
-def test_sections_survive_the_way(count: int) -> None:
+def test_manifest_is_rebuilt_from_its_sections(count: int) -> None:
     manifest = replace(make_manifest(1.0, count), version=7)
     joined = join_sections(7, split_sections(manifest)).unwrap()
     assert joined == manifest
 
 
-def test_one_changed_upstream_moves_one_part() -> None:
-    # At 3,000 changes a day a whole section of 890 upstreams each time would
-    # use up what a daemon may send for control.
+def test_one_changed_upstream_changes_one_part() -> None:
+    # At 3,000 changes a day, sending a whole section of 890 upstreams each time
+    # would exceed a daemon's budget for control traffic.
     manifest = make_manifest(1.0, 890)
     upstreams = dict(manifest.upstreams)
     upstreams['up-5'] = replace(upstreams['up-5'], slots=9)
@@ -145,9 +145,12 @@
     ('fault', 'kind'),
     [('', Ok), ('not_applied', Err), ('lost_before', Err), ('lost_after', Ok)],
 )
-async def test_lost_answer_is_read_back(fault: str, kind: type) -> None:
-    # The table's answer to the swap is lost. The operator is told what truly
-    # happened, and asking again ends with the manifest accepted once.
+async def test_outcome_is_read_back_after_a_lost_answer(
+    fault: str, kind: type
+) -> None:
+    # The table's answer to the compare-and-set is lost. The operator is told
+    # the actual outcome, and a repeated request leaves the manifest accepted
+    # once.
     store = FakeStore()
     manifest_store = ManifestStore(store, store)
     store.write_faults.append(fault)
@@ -157,10 +160,10 @@
     assert (await manifest_store.refresh()).unwrap() == 1
 
 
-async def test_asking_again_below_a_newer_version() -> None:
-    # The answer to version 1 is lost and another operator's version 2 wins
-    # on top of it. Asking again for version 1 must neither undo version 2
-    # nor claim that version 1 had lost.
+async def test_accepted_manifest_is_found_below_a_newer_version() -> None:
+    # The answer to version 1 is lost and another operator's version 2 is
+    # accepted on top of it. A repeated request for version 1 must neither undo
+    # version 2 nor report version 1 as rejected.
     store = FakeStore()
     manifest_store = ManifestStore(store, store)
     first, second = make_manifest(1.0), make_manifest(2.0)
@@ -171,9 +174,9 @@
     assert manifest_store.current == replace(second, version=2)
 
 
-async def test_operators_race() -> None:
-    # Two operators replace the same version. One wins; the other is told
-    # the version that won, and the winner's content is in force.
+async def test_second_of_two_racing_operators_gets_a_conflict() -> None:
+    # Two operators replace the same version. One wins; the other is told the
+    # version that won, and the winner's content is in force.
     store = FakeStore()
     manifest_store = ManifestStore(store, store)
     winner, loser = make_manifest(1.0), make_manifest(2.0)
@@ -188,9 +191,11 @@
     'content',
     [b'', b'\xff', b'[]', b'{"version":"x"}', b'{"version":9}'],
 )
-async def test_damaged_head_changes_nothing(content: bytes) -> None:
-    # The row that names the version holds bytes that nobody understands. The
-    # daemon says so and goes on with what it has.
+async def test_malformed_head_keeps_the_current_manifest(
+    content: bytes,
+) -> None:
+    # The row that names the version holds bytes that can't be decoded. The
+    # daemon reports it and keeps its current manifest.
     store = FakeStore()
     manifest_store = ManifestStore(store, store)
     (await manifest_store.accept(make_manifest(1.0), 0)).unwrap()
@@ -203,8 +208,10 @@
 
 
 @pytest.mark.parametrize('content', [b'', b'{"desk":1}', None])
-async def test_damaged_section_changes_nothing(content: bytes | None) -> None:
-    # An object is missing, or is not what its name says.
+async def test_missing_or_damaged_section_keeps_the_current_manifest(
+    content: bytes | None,
+) -> None:
+    # An object is missing, or its content does not match its name.
     store = FakeStore()
     manifest_store = ManifestStore(store, store)
     (await manifest_store.accept(make_manifest(1.0), 0)).unwrap()
@@ -216,9 +223,10 @@
     assert manifest_store.current.version == 0
 
 
-async def test_change_travels_without_the_store() -> None:
+async def test_change_spreads_without_the_store() -> None:
     # One daemon has read a new version; all others have lost the store. They
-    # have it after a few heartbeats, and only the changed section moved.
+    # have it after a few heartbeats, and only the changed section is
+    # transferred.
     group = Group(6)
     manifest_store = group.nodes[0].manifest_store
     (await manifest_store.accept(make_manifest(1.0, 300), 0)).unwrap()
@@ -237,9 +245,10 @@
     assert sent < whole
 
 
-async def test_start_without_the_store_takes_the_highest() -> None:
+async def test_start_without_the_store_takes_the_newest_version() -> None:
     # A VM is replaced while the store is down, and the first daemon that it
-    # hears lags behind. It must begin with the newest version around.
+    # hears from lags behind. It must start with the newest version that others
+    # have.
     group = Group(3)
     manifest_store = group.nodes[0].manifest_store
     for version, lagging in enumerate(group.nodes):
@@ -258,8 +267,8 @@
 @pytest.mark.parametrize(
     'content', [b'', b'\xff', b'\x92\x02', b'\x93\x02\x09\x81\x01\x02']
 )
-async def test_malformed_news_is_counted(content: bytes) -> None:
-    # A daemon of another release sends what this one can't read.
+async def test_malformed_manifest_message_is_counted(content: bytes) -> None:
+    # A daemon of another release sends bytes that this one can't decode.
     group = Group(2)
     one, other = group.nodes
     peers = group.network.peers[one.own.incarnation]
@@ -269,11 +278,11 @@
     assert dropped == 1
 
 
-class NeverReverts(RuleBasedStateMachine):
-    """Versions arrive in any order, over any way, with damage and loss."""
+class VersionsNeverDecrease(RuleBasedStateMachine):
+    """Versions arrive in any order and by any path, with damage and loss."""
 
     def __init__(self) -> None:
-        """Start three keepers with one store."""
+        """Start three manifest stores on one platform store."""
         super().__init__()
         self.heads: list[tuple] = []
         store = FakeStore()
@@ -283,20 +292,20 @@
 
     @rule(weight=integers(1, 3))
     def accept(self, weight: int) -> None:
-        """An operator has the next version accepted."""
+        """An operator gets the next version accepted."""
         version = len(self.heads)
         manifest = make_manifest(float(weight))
         sections = split_sections(manifest)
         names = {name: hash_content(body) for name, body in sections.items()}
         head = self.heads[-1][0] if self.heads else NO_HEAD
-        following = head.make_successor(names)
+        successor = head.make_successor(names)
         contents = {names[name]: body for name, body in sections.items()}
-        self.heads.append((following, contents))
+        self.heads.append((successor, contents))
         self.accepted[version + 1] = replace(manifest, version=version + 1)
 
     @rule(who=integers(0, 2), which=integers(0, 20), damaged=booleans())
     def deliver(self, who: int, which: int, damaged: bool) -> None:
-        """Some version reaches a daemon, perhaps late or damaged."""
+        """A version reaches a daemon, perhaps late or damaged."""
         if not self.heads:
             return
         head, contents = self.heads[which % len(self.heads)]
@@ -306,14 +315,14 @@
 
     @rule(who=sampled_from([0, 1, 2]))
     def restart(self, who: int) -> None:
-        """A daemon is replaced and begins with nothing."""
+        """A daemon is replaced and starts empty."""
         store = FakeStore()
         self.manifest_stores[who] = ManifestStore(store, store)
         self.highest[who] = 0
 
     @invariant()
-    def goes_up_with_true_content(self) -> None:
-        """No version falls, and each is what was accepted."""
+    def versions_increase_with_accepted_content(self) -> None:
+        """No version decreases, and each has the accepted content."""
         for who, manifest_store in enumerate(self.manifest_stores):
             version = manifest_store.current.version
             assert version >= self.highest[who]
@@ -322,7 +331,7 @@
                 assert manifest_store.current == self.accepted[version]
 
 
-NeverReverts.TestCase.settings = settings(
+VersionsNeverDecrease.TestCase.settings = settings(
     max_examples=40, stateful_step_count=25, derandomize=True, deadline=None
 )
-TestNeverReverts = NeverReverts.TestCase
+TestVersionsNeverDecrease = VersionsNeverDecrease.TestCase
