--- a/quetzalcourse/coordination/__init__.py
+++ b/quetzalcourse/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: who runs what, where and when."""
+"""Coordination logic: which daemon and engine runs what, and when."""
--- a/quetzalcourse/coordination/ports.py
+++ b/quetzalcourse/coordination/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces through which decisions reach the world outside."""
+"""Interfaces of the coordination logic to stores, engines and other daemons."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
     """The platform's transactional table."""
 
     async def read(self, key: str) -> Result[Row | None, StoreFault]:
-        """Read one row.
+        """Read one row, ``None`` if there is none.
 
-        :param key: name of the row.
+        :param key: key of the row.
         """
 
     async def scan(
@@ -54,32 +54,32 @@
         after: str = '',
         limit: int = 1000,
     ) -> Result[list[Row], StoreFault]:
-        """Read rows in the order of their keys.
+        """Read rows in key order.
 
-        :param prefix: what the keys begin with.
-        :param after: key behind which to begin.
-        :param limit: most rows to return.
+        :param prefix: prefix of the keys.
+        :param after: key after which to start.
+        :param limit: maximum number of rows.
         """
 
     async def transact(
         self,
         transaction: Transaction,
     ) -> Result[Commit, StoreFault]:
-        """Write rows together if every condition holds."""
+        """Write rows atomically if every condition holds."""
 
 
 class ObjectStore(Protocol):
     """The platform's object store."""
 
     async def get(self, name: str) -> Result[bytes | None, StoreFault]:
-        """Read an object, ``None`` if there is none of that name."""
+        """Read an object, ``None`` if none has that name."""
 
     async def put(self, name: str, content: bytes) -> Result[None, StoreFault]:
-        """Write an object under a name that is made of its content."""
+        """Write an object under a name derived from its content."""
 
 
 class Engines(Protocol):
-    """Connections to the engines."""
+    """Requests to the engines."""
 
     def generate(
         self,
@@ -90,25 +90,25 @@
         """Run a request and yield its chunks.
 
         :param upstream: engine to run it on.
-        :param request: what to run.
-        :param tokens: tokens already received, to go on behind them.
-        :raises AttemptError: with the state that the attempt ended in.
+        :param request: the request.
+        :param tokens: tokens received from earlier attempts, to resume after.
+        :raises AttemptError: with the state in which the attempt ended.
         """
 
     async def cancel(self, upstream: Upstream, request_id: str) -> None:
-        """Tell an engine to stop a request; failure to reach it is ignored."""
+        """Ask an engine to cancel a request; failure to reach it is ignored."""
 
 
 class EngineControl(Protocol):
-    """Reports from engines and orders to them."""
+    """Reports from engines and orders to engines."""
 
     async def observe(
         self,
         upstream: Upstream,
     ) -> Result[EngineReport, OrderProblem]:
-        """Ask an engine what it runs.
+        """Fetch an engine's report of what it runs.
 
-        :param upstream: engine to ask.
+        :param upstream: engine to query.
         """
 
     async def order(
@@ -116,10 +116,10 @@
         upstream: Upstream,
         order: EngineOrder,
     ) -> Result[EngineReport, OrderProblem]:
-        """Give an order; the same order id again does no harm.
+        """Send an order; repeating the same order id is harmless.
 
-        :param upstream: engine to order.
-        :param order: what to do, with the sender's fencing token.
+        :param upstream: engine that gets the order.
+        :param order: the order, with the sender's fencing token.
         """
 
     async def list_changes(
@@ -129,7 +129,7 @@
     ) -> Result[list[CacheChange], OrderProblem]:
         """List the changes of an engine's prefix cache.
 
-        :param after: sequence behind which to begin.
+        :param after: sequence number after which to start.
         """
 
 
@@ -144,35 +144,35 @@
         """Score one sample.
 
         :param sample_id: idempotency key of the call.
-        :param text: what the engine generated.
-        :returns: the score, or what is known of a call that failed.
+        :param text: generated text.
+        :returns: the score, or what is known about a failed call.
         """
 
 
 class WeightStore(Protocol):
-    """The platform's store of weight versions, which limits its rate."""
+    """The platform's store of weight versions, which is rate-limited."""
 
     async def newest(self, model: str) -> Result[int, StoreFault]:
-        """Tell the newest published version of a model, zero for none."""
+        """Read the newest published version of a model, 0 if there is none."""
 
 
 class GenerationService(Protocol):
-    """Part of the daemon that runs requests for tokens."""
+    """Runs generation requests on the engines."""
 
     def run(self, request: GenerationRequest) -> AsyncIterator[Chunk]:
         """Yield the tokens of a request, each offset once and in order.
 
-        :raises RefusedError: when no engine finishes the request.
+        :raises RefusedError: when no engine completes the request.
         """
 
 
 class Peers(Protocol):
-    """Messages between daemons: one way, unordered, and sometimes lost."""
+    """Messages between daemons: one-way, unordered and unreliable."""
 
     def send(self, receiver: Member, topic: Topic, content: bytes) -> None:
         """Send a message without waiting; it may be lost.
 
-        :param receiver: whom to send it to.
+        :param receiver: daemon to send it to.
         :param topic: kind of the message.
         :param content: encoded message.
         """
@@ -182,7 +182,7 @@
         topic: Topic,
         receive: Callable[[Member, bytes], None],
     ) -> None:
-        """Hand the messages of a topic to a handler.
+        """Register the handler for the messages of a topic.
 
         :param topic: kind of the messages.
         :param receive: called with the sender and the encoded message.
@@ -190,62 +190,62 @@
 
 
 class MemberView(Protocol):
-    """The daemons that are known to be live."""
+    """View of the daemons that are known to be live."""
 
     own: Member
 
     def list_live(self, data_centre: str = '') -> list[Member]:
         """List the live daemons, this one included, sorted by incarnation.
 
-        :param data_centre: only those there, or all if left out.
+        :param data_centre: only those there, or all if empty.
         """
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever the list of live daemons changed."""
+        """Register a listener for changes of the list of live daemons."""
 
 
 class Vms(Protocol):
-    """The platform's list of entry VMs, which lags."""
+    """The platform's list of entry VMs, which lags behind."""
 
     async def list_vms(self) -> Result[list[Vm], StoreFault]:
         """List the VMs that run daemons, live and leaving."""
 
 
 class SlotPolicy(Protocol):
-    """Rule by which a daemon knows how much it may run on an upstream."""
+    """Decides how many requests a daemon may run on an upstream."""
 
     def listen(
         self,
         on_free: Callable[[str], None],
         on_revoked: Callable[[str, int], None],
     ) -> None:
-        """Say whom to tell of changes.
+        """Set the callbacks for changes.
 
-        :param on_free: called with an upstream that may have room.
-        :param on_revoked: called with an upstream and how many training
-            requests must be giving their slot back.
+        :param on_free: called with an upstream that may have free slots.
+        :param on_revoked: called with an upstream and the number of training
+            requests that must release their slots.
         """
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams and accounts that came into force."""
+        """Apply the upstreams and accounts that came into force."""
 
     def may_start(self, upstream: str, traffic_class: TrafficClass) -> bool:
         """Tell whether one more request may run on an upstream."""
 
     def on_started(self, upstream: str, key: LoadKey) -> None:
-        """Count a request that begins to run."""
+        """Count a request that starts to run."""
 
     def on_released(self, upstream: str, key: LoadKey, tokens: int) -> None:
-        """Count a request that runs no more.
+        """Count a request that no longer runs.
 
-        :param tokens: generated since it began to run.
+        :param tokens: tokens generated since it started to run.
         """
 
     def on_queued(self, waiter: SlotWaiter) -> None:
-        """Take note of a request for which there was no room."""
+        """Record a request that waits for a slot."""
 
     def on_unqueued(self, waiter: SlotWaiter) -> None:
-        """Take note that a request waits no more."""
+        """Record that a request no longer waits."""
 
 
 class SlotLink(Protocol):
@@ -270,39 +270,39 @@
         on_reports: Callable[[Member, tuple[SlotReport, ...]], None],
         on_allowances: Callable[[Member, tuple[Allowance, ...]], None],
     ) -> None:
-        """Hand what other daemons send to handlers."""
+        """Register the handlers for messages of other daemons."""
 
 
 class UsageReports(Protocol):
-    """The platform's interface for usage reports."""
+    """The platform's usage report API."""
 
     async def report(
         self,
         report: FrozenReport,
         may_send: Callable[[], bool],
     ) -> Result[None, OrderProblem]:
-        """Send a report; the same one again does no harm.
+        """Send a report; sending the same one again is harmless.
 
         :param report: frozen bytes with the sender's fencing token.
-        :param may_send: asked in the step of the loop in which the bytes
-            are handed to the open connection.
+        :param may_send: called in the same event loop iteration in which the
+            bytes are handed to the open connection.
         """
 
 
 class UpstreamOrders(Protocol):
-    """The platform's interface that orders upstreams."""
+    """The platform's API for ordering upstreams."""
 
     async def order(
         self,
         order: FleetOrder,
         may_send: Callable[[], bool],
     ) -> Result[None, OrderProblem]:
-        """Give an order; the same order id again does no harm.
+        """Send an order; repeating the same order id is harmless.
 
-        :param order: how many upstreams there should be.
-        :param may_send: asked in the step of the loop in which the bytes
-            are handed to the open connection.
+        :param order: number of upstreams that there should be.
+        :param may_send: called in the same event loop iteration in which the
+            bytes are handed to the open connection.
         """
 
     async def list_counts(self) -> Result[list[FleetCount], StoreFault]:
-        """List the upstreams that there are."""
+        """List the current numbers of upstreams."""
--- a/quetzalcourse/coordination/tasks.py
+++ b/quetzalcourse/coordination/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the one that began them."""
+"""Background tasks that outlive the call that started them."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class BackgroundTasks:
-    """Keeps tasks until they end.
+    """Keeps references to tasks until they end.
 
-    The loop itself holds a task only weakly: one that nobody else holds may
-    vanish in the middle of its work. A fault of one that nobody awaits would
-    show nowhere, so it is logged here.
+    The event loop holds only weak references: a task without another reference
+    may be garbage-collected before it is done. The exception of a task that is
+    never awaited would go unnoticed, so it is logged here.
 
-    :param name: what they are for, for the log.
+    :param name: purpose of the tasks, for the log.
     """
 
     def __init__(self, name: str) -> None:
-        """Begin without tasks."""
+        """Start without tasks."""
         self._name = name
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Begin a task."""
+        """Start a task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
@@ -48,7 +48,7 @@
         error = task.exception()
         if error is not None:
             log.error(
-                'Task failed.',
+                'Background task failed.',
                 name=self._name,
                 kind=type(error).__name__,
                 reason=str(error),
@@ -56,7 +56,7 @@
 
 
 async def wait_event(event: asyncio.Event, wait: timedelta) -> None:
-    """Wait until an event is set, or a time is over."""
+    """Wait until an event is set or a timeout has passed."""
     try:
         async with asyncio.timeout(wait.total_seconds()):
             await event.wait()
