--- a/quetzalcourse/coordination/feeds/feed_relay.py
+++ b/quetzalcourse/coordination/feeds/feed_relay.py
@@ -46,7 +46,7 @@
     newest: int
 
 
-class RowUpdate(msgspec.Struct, frozen=True):
+class RelayedRow(msgspec.Struct, frozen=True):
     """A row sent between daemons."""
 
     key: str
@@ -55,7 +55,7 @@
     removed: bool = False
 
 
-class RowsUpdate(msgspec.Struct, frozen=True):
+class RowsReply(msgspec.Struct, frozen=True):
     """Rows of a table that are newer than the requester's.
 
     :param newest: newest version that the sender has.
@@ -67,7 +67,7 @@
 
     table: str
     newest: int
-    rows: list[RowUpdate]
+    rows: list[RelayedRow]
     keys: list[str]
     hears_store: bool
 
@@ -76,8 +76,9 @@
     """Requests rows of some tables from peers and answers their requests.
 
     :param followers: local copies of the tables.
-    :param readiness: is told by every answer which daemons reach the store.
-    :param relay_peers: is told it too, and can trigger a request at once.
+    :param readiness: gets every peer's report on whether it reaches the store.
+    :param relay_peers: gets these reports too, and can trigger a request at
+        once.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Subscribe to requests and answers."""
+        """Subscribe to requests and replies."""
         self._followers = {one.table: one for one in followers}
         self._peers = peers
         self._members = members
@@ -100,7 +101,7 @@
         self._counters = counters
         self._random = random.Random()
         peers.subscribe(Topic.rows_asked, self.on_request)
-        peers.subscribe(Topic.rows_told, self.on_update)
+        peers.subscribe(Topic.rows_told, self.on_reply)
 
     async def run(self) -> None:
         """Request rows while the store is unavailable, until cancelled."""
@@ -115,54 +116,48 @@
             await wait_event(self._relay_peers.report_request, REQUEST_INTERVAL)
 
     def on_request(self, sender: Member, content: bytes) -> None:
-        """Answer a request with the rows that are newer than the sender's.
+        """Reply to a request with the rows that are newer than the sender's.
 
-        An answer without rows still shows that this daemon is reachable.
+        A reply without rows still shows that this daemon is reachable.
         """
         request = msgspec.msgpack.decode(content, type=RowsRequest)
         follower = self._followers.get(request.table)
         if follower is None:
             return
-        update = RowsUpdate(
+        reply = RowsReply(
             request.table,
             follower.newest_version,
             [],
             [],
             hears_store=follower.loaded and not follower.store_unavailable,
         )
-        if update.hears_store and update.newest > request.newest:
-            update.rows.extend(_list_newer(follower, request.newest))
-            update.keys.extend(follower.rows)
-        self._peers.send(
-            sender, Topic.rows_told, msgspec.msgpack.encode(update)
-        )
+        if reply.hears_store and reply.newest > request.newest:
+            reply.rows.extend(_list_newer(follower, request.newest))
+            reply.keys.extend(follower.rows)
+        self._peers.send(sender, Topic.rows_told, msgspec.msgpack.encode(reply))
 
-    def on_update(self, sender: Member, content: bytes) -> None:
+    def on_reply(self, sender: Member, content: bytes) -> None:
         """Apply rows from another daemon while the store is unavailable."""
-        update = msgspec.msgpack.decode(content, type=RowsUpdate)
-        self._readiness.on_report(sender, hears_store=update.hears_store)
-        self._relay_peers.on_report(sender, hears_store=update.hears_store)
-        follower = self._followers.get(update.table)
-        if (
-            follower is None
-            or not follower.store_unavailable
-            or not update.rows
-        ):
+        reply = msgspec.msgpack.decode(content, type=RowsReply)
+        self._readiness.on_report(sender, hears_store=reply.hears_store)
+        self._relay_peers.on_report(sender, hears_store=reply.hears_store)
+        follower = self._followers.get(reply.table)
+        if follower is None or not follower.store_unavailable or not reply.rows:
             return
-        present = set(update.keys)
+        present = set(reply.keys)
         deleted = [
-            Row(key, b'', update.newest, removed=True)
+            Row(key, b'', reply.newest, removed=True)
             for key in follower.rows
             if key not in present
         ]
-        rows = [Row(row.key, row.content, row.version) for row in update.rows]
-        self._counters.add('rows_relayed', len(rows), table=update.table)
+        rows = [Row(row.key, row.content, row.version) for row in reply.rows]
+        self._counters.add('rows_relayed', len(rows), table=reply.table)
         log.info(
             'Received newer rows from another daemon.',
-            table=update.table,
+            table=reply.table,
             peer=sender.address,
             rows=len(rows),
-            newest=update.newest,
+            newest=reply.newest,
         )
         follower.apply_rows([*rows, *deleted])
 
@@ -180,9 +175,9 @@
             self._peers.send(member, Topic.rows_asked, content)
 
 
-def _list_newer(follower: TableFollower, version: int) -> list[RowUpdate]:
+def _list_newer(follower: TableFollower, version: int) -> list[RelayedRow]:
     return [
-        RowUpdate(row.key, row.content, row.version)
+        RelayedRow(row.key, row.content, row.version)
         for row in follower.rows.values()
         if row.version > version
     ]
--- a/quetzalcourse/coordination/feeds/heartbeats.py
+++ b/quetzalcourse/coordination/feeds/heartbeats.py
@@ -1,4 +1,4 @@
-"""Intervals of the heartbeat rows, and the timeout of a silent daemon.
+"""Intervals of the heartbeat rows, and the timeout without them.
 
 Hundreds of daemons share one store, so each may write only every few seconds
 and read the others' rows only every second or two. When a daemon that runs
--- a/quetzalcourse/coordination/feeds/presence.py
+++ b/quetzalcourse/coordination/feeds/presence.py
@@ -139,7 +139,7 @@
         return bool(self._watched)
 
     def is_watching(self, vm: str) -> bool:
-        """Tell whether a VM is judged by directly read rows."""
+        """Return whether a VM is judged by directly read rows."""
         return vm in self._watched
 
     def on_read_failed(self, vm: str) -> None:
@@ -207,7 +207,7 @@
             self._pong_at[sender.vm] = self._clock.elapsed()
 
     def is_live(self, vm: str, incarnation: str) -> bool:
-        """Tell whether a given run of a daemon is alive."""
+        """Return whether a given run of a daemon is alive."""
         if vm == self.own.vm:
             return incarnation == self.own.incarnation
         record = self.records.get(vm)
@@ -216,7 +216,7 @@
         return self._is_recent(vm)
 
     def is_replaced(self, vm: str, incarnation: str, version: int) -> bool:
-        """Tell whether a later run on the same VM has replaced a run.
+        """Return whether a later run on the same VM has replaced a run.
 
         :param version: version of a row that the run wrote; the row of a later
             run starts with a higher one.
@@ -364,7 +364,7 @@
 
 
 def _not_urgent() -> bool:
-    """Tell that this daemon does no urgent work."""
+    """Return that no urgent work runs here, until a check is set."""
     return False
 
 
--- a/quetzalcourse/coordination/feeds/readiness.py
+++ b/quetzalcourse/coordination/feeds/readiness.py
@@ -62,7 +62,7 @@
             self._remote_reported_at = now
 
     def is_ready(self) -> bool:
-        """Tell whether this daemon serves new callers as well as others would.
+        """Return whether this daemon serves new callers as well as others do.
 
         While the store is down for all daemons, none serves callers better, so
         this one stays ready.
--- a/quetzalcourse/coordination/feeds/store_calls.py
+++ b/quetzalcourse/coordination/feeds/store_calls.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from quetzalcourse.coordination.feeds.feed_relay import RowUpdate
+from quetzalcourse.coordination.feeds.feed_relay import RelayedRow
 from quetzalcourse.state.rows import (
     Changes,
     Commit,
@@ -140,7 +140,7 @@
     step: str = ''
     peer: str = ''
     history_lost: bool = False
-    rows: list[RowUpdate] = []
+    rows: list[RelayedRow] = []
     parts: list[str] = []
     version: int = 0
     applied: bool = False
@@ -179,10 +179,10 @@
     )
 
 
-def encode_rows(rows: list[Row] | tuple[Row, ...]) -> list[RowUpdate]:
+def encode_rows(rows: list[Row] | tuple[Row, ...]) -> list[RelayedRow]:
     """Encode rows for another daemon."""
     return [
-        RowUpdate(row.key, row.content, row.version, row.removed)
+        RelayedRow(row.key, row.content, row.version, row.removed)
         for row in rows
     ]
 
--- a/quetzalcourse/coordination/feeds/store_relay.py
+++ b/quetzalcourse/coordination/feeds/store_relay.py
@@ -308,7 +308,7 @@
 
 
 def _may_retry_through_peer(answer: Result[Value, StoreFault]) -> bool:
-    """Tell whether a failed call may be repeated through a peer.
+    """Return whether a failed call may be repeated through a peer.
 
     An unanswered write may have taken effect. The caller has to know, since a
     repeated write may then fail on its own condition.
@@ -320,7 +320,7 @@
 
 
 def _is_declined(answer: ReplyResult) -> bool:
-    """Tell whether a peer made no call, so that another one may be tried."""
+    """Return whether a peer made no call, so that another one may be tried."""
     return isinstance(answer, Err) and answer.err_value.step == NOT_RELAYED
 
 
--- a/quetzalcourse/coordination/manifest/keys.py
+++ b/quetzalcourse/coordination/manifest/keys.py
@@ -94,7 +94,7 @@
         self.merge(bury(key_id))
 
     def is_withdrawn(self, key_id: str) -> bool:
-        """Tell whether a key was withdrawn or is no longer granted."""
+        """Return whether a key was withdrawn or is no longer granted."""
         known = self.records.get(key_id)
         if known is not None and (known.withdrawn or known.digest):
             return known.withdrawn
--- a/quetzalcourse/coordination/manifest/sections.py
+++ b/quetzalcourse/coordination/manifest/sections.py
@@ -51,7 +51,7 @@
         return hash_content(msgspec.json.encode(self.sections, order='sorted'))
 
     def has_accepted(self, other: ManifestHead) -> bool:
-        """Tell whether another head is this one or one of its predecessors."""
+        """Return whether another head is this one or one accepted before it."""
         return self.accepted.get(other.version) == other.fingerprint()
 
     def make_successor(self, sections: dict[str, str]) -> ManifestHead:
--- a/quetzalcourse/coordination/membership/membership.py
+++ b/quetzalcourse/coordination/membership/membership.py
@@ -264,7 +264,7 @@
     def _on_direct_message(
         self, sender: Member, counter: int, now: timedelta
     ) -> bool:
-        """Mark the sender of a message as alive, and tell who asked for it."""
+        """Mark the sender as alive, and notify those who asked for a probe."""
         self._probes.resolve(sender.incarnation)
         for requester in self._probes.take_requesters(sender.address):
             self._send(
--- a/quetzalcourse/coordination/membership/partitions.py
+++ b/quetzalcourse/coordination/membership/partitions.py
@@ -49,15 +49,15 @@
         if self._peer_read_at is None or read_at > self._peer_read_at:
             self._peer_read_at = read_at
 
-    def is_current(self, longest: timedelta | None) -> bool:
-        """Tell whether the last read is recent enough to accept keys.
+    def is_current(self, max_age: timedelta | None) -> bool:
+        """Return whether the last read is recent enough to accept keys.
 
-        :param longest: maximum age, ``None`` for any.
+        :param max_age: maximum age, ``None`` for any.
         """
-        if longest is None:
+        if max_age is None:
             return True
         age = self.find_age()
-        return age is not None and age <= longest
+        return age is not None and age <= max_age
 
 
 class PartitionTracker:
--- a/quetzalcourse/coordination/ports.py
+++ b/quetzalcourse/coordination/ports.py
@@ -230,7 +230,7 @@
         """Apply the upstreams and accounts that came into force."""
 
     def may_start(self, upstream: str, traffic_class: TrafficClass) -> bool:
-        """Tell whether one more request may run on an upstream."""
+        """Return whether one more request may run on an upstream."""
 
     def on_started(self, upstream: str, key: LoadKey) -> None:
         """Count a request that starts to run."""
--- a/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
+++ b/quetzalcourse/tests/coordination/feeds/liveness_probes_tests.py
@@ -58,7 +58,7 @@
             self.clock.move(PROBE_INTERVAL)
 
     def sees_far(self) -> bool:
-        """Tell whether the far daemon counts as live."""
+        """Return whether the far daemon counts as live."""
         return self.near.is_live(FAR.vm, FAR.incarnation)
 
     def _build(self, own: Member) -> members.Presence:
--- a/quetzalcourse/tests/coordination/manifest/manifest_tests.py
+++ b/quetzalcourse/tests/coordination/manifest/manifest_tests.py
@@ -136,9 +136,9 @@
     before = split_sections(manifest)
     after = split_sections(replace(manifest, upstreams=upstreams))
     changed = [name for name in after if after[name] != before[name]]
-    whole = sum(len(content) for content in before.values())
+    total_size = sum(len(content) for content in before.values())
     assert len(changed) == 1
-    assert len(after[changed[0]]) < whole / 15
+    assert len(after[changed[0]]) < total_size / 15
 
 
 @pytest.mark.parametrize(
@@ -241,8 +241,8 @@
     assert {node.manifest_store.current.version for node in group.nodes} == {2}
     assert all(node.seen == [1, 2] for node in group.nodes)
     sent = sum(size for *_, topic, size in group.network.sent)
-    whole = sum(map(len, split_sections(make_manifest(2.0, 300)).values()))
-    assert sent < whole
+    total_size = sum(map(len, split_sections(make_manifest(2.0, 300)).values()))
+    assert sent < total_size
 
 
 async def test_start_without_the_store_takes_the_newest_version() -> None:
--- a/quetzalcourse/tests/coordination/membership/membership_tests.py
+++ b/quetzalcourse/tests/coordination/membership/membership_tests.py
@@ -229,8 +229,8 @@
     leaving_daemon.announce_leaving()
     await cluster.run(8)
     for daemon in cluster.daemons:
-        held = {member.vm: member for member in daemon.list_live()}
-        assert held['vm-1'].leaving
+        known = {member.vm: member for member in daemon.list_live()}
+        assert known['vm-1'].leaving
     before = cluster.counters.read('suspicions')
     leaving_daemon.announce_gone()
     await settle()
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize(
-    ('held', 'leaving', 'expected'),
+    ('known', 'leaving', 'expected'),
     [
         (Standing.alive, False, Standing.suspect),
         (Standing.suspect, False, Standing.gone),
@@ -311,7 +311,7 @@
     ],
 )
 def test_gone_report_only_suspects_a_live_daemon(
-    held: Standing,
+    known: Standing,
     leaving: bool,
     expected: Standing,
 ) -> None:
@@ -320,7 +320,7 @@
     member_list = MemberList()
     member = Member('vm', 'vm-a', 'lac-hall', '10.0.0.1:1', leaving)
     now = timedelta(0)
-    member_list.merge(describe(member, 1, held), now)
+    member_list.merge(describe(member, 1, known), now)
     member_list.merge(describe(member, 1, Standing.gone), now)
     found = member_list.find('vm-a')
     assert found is not None
