--- a/quetzalcourse/coordination/feeds/follower.py
+++ b/quetzalcourse/coordination/feeds/follower.py
@@ -22,7 +22,8 @@
 # A stalled channel has to be noticed within the two seconds in which a new
 # manifest must be in force.
 FOLLOW_WAIT = timedelta(seconds=1)
-# A healthy store answers each long poll within FOLLOW_WAIT.
+# A healthy store answers each long poll within FOLLOW_WAIT; one that has not
+# answered after this time counts as unavailable.
 ANSWER_TIMEOUT = timedelta(seconds=1.3)
 RETRY_DELAY = timedelta(milliseconds=150)
 # Three failed answers in a row; single failures are routine.
@@ -35,13 +36,15 @@
     """Follows the changes of one table and passes them to listeners.
 
     A row only ever moves to a higher version. An answer older than the local
-    copy, as a lagging replica of the store may give, changes nothing.
+    copy, as from a store whose reads are stale, changes nothing.
 
     :param table: name of the table.
     :param single_part: whether all rows are in the part with the empty name.
     :param wait: how long the store holds a long poll for changes.
     :param pause: time between two polls, for tables that change all the time;
         changes in between arrive together.
+    :ivar rows: the local copy, by key.
+    :ivar loaded: whether the table has been read completely.
     """
 
     def __init__(
