--- a/quetzalcourse/state/__init__.py
+++ b/quetzalcourse/state/__init__.py
@@ -1,1 +1,1 @@
-"""Data classes that decisions read and write."""
+"""Data classes shared by all layers, without input or output."""
--- a/quetzalcourse/state/batches.py
+++ b/quetzalcourse/state/batches.py
@@ -1,4 +1,4 @@
-"""Batches and their items."""
+"""Batches, their items and their results."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class ScoringCall(msgspec.Struct, frozen=True):
-    """Request whose answer says how good an item's text is.
+    """Request whose response scores an item's text.
 
     It may be repeated, and runs for no client account.
 
-    :param id: its request id, which its answer names.
-    :param path: where it is posted, by the route of host and path.
+    :param id: its request id, which the response repeats.
+    :param path: path of the POST request; host and path select the route.
     """
 
     id: str
@@ -27,13 +27,13 @@
 class BatchItem(msgspec.Struct, frozen=True):
     """One item of a batch.
 
-    :param path: where it is posted at the upstream.
-    :param headers: passed on as they are.
-    :param tokens: prompt tokens and the most output tokens together.
+    :param path: path of the POST request at the upstream.
+    :param headers: forwarded unchanged.
+    :param tokens: prompt tokens plus the maximum of output tokens.
     :param group: items of one group share their prompt.
-    :param scoring: call that scores its text, ``None`` if none does.
-    :param length_estimate: output tokens that its caller expects, 0 if it
-        does not say; right at the median, and often far off.
+    :param scoring: call that scores its text, ``None`` if it is not scored.
+    :param length_estimate: output tokens that its caller expects, 0 if not
+        given; right at the median, but often far off.
     """
 
     id: str
@@ -49,18 +49,20 @@
 class BatchHead(msgspec.Struct, frozen=True):
     """A batch without its items.
 
-    :param route: name of the route that it came by.
-    :param host: host that its items are sent with.
-    :param total: how many items it has.
-    :param accepted_ms: the store's clock when it was first submitted.
+    :param route: name of the route that accepted it.
+    :param host: host header of its items.
+    :param total: number of items.
+    :param accepted_ms: store time of its first submission.
     :param due_ms: age at which its results are due.
-    :param lifetime_ms: age after which its items may be given up.
-    :param min_version: oldest weight version that may make its tokens.
-    :param wanted_groups: whole groups that its caller waits for.
-    :param chunks: rows that hold its items.
-    :param refused: whether it stands for a refusal instead of a batch.
+    :param lifetime_ms: age after which its items may be abandoned.
+    :param min_version: oldest weight version that may generate its tokens.
+    :param wanted_groups: number of complete groups that its caller waits for.
+    :param single_version: whether an item must not mix weight versions.
+    :param max_attempts: most upstreams that an item is sent to.
+    :param chunks: number of rows that store its items.
+    :param refused: whether it records a refusal instead of a batch.
     :param manifest_version: routing manifest under which it was accepted;
-        who knows only an older one knows nothing of its route.
+        a daemon with an older manifest may not have its route.
     """
 
     id: str
@@ -83,10 +85,11 @@
 
 
 class Ownership(msgspec.Struct, frozen=True):
-    """Which run of a daemon runs a batch.
+    """The daemon that owns a batch.
 
-    :param incarnation: empty once its owner has handed it over.
-    :param term: grows by one with each owner.
+    :param incarnation: run of the daemon, empty once it has handed the batch
+        over.
+    :param term: incremented with each owner.
     """
 
     vm: str
@@ -95,18 +98,18 @@
 
 
 class ResultState(enum.StrEnum):
-    """How an item ended."""
+    """Final state of an item."""
 
     completed = 'completed'
     abandoned = 'abandoned'
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """Result of an item, at its position for good.
+    """Final result of an item; its position in the batch never changes.
 
     :param text: data of all events, separated by line feeds.
-    :param versions: weight versions that made them, oldest first.
-    :param score: what its scoring call said, empty without such a call.
+    :param versions: weight versions that generated it, oldest first.
+    :param score: response of its scoring call, empty without such a call.
     """
 
     id: str
@@ -117,12 +120,14 @@
 
 
 class PartialText(msgspec.Struct, frozen=True):
-    """What upstreams have made of an unfinished item so far.
+    """Text generated so far for an unfinished item.
 
     :param item: id of the item.
+    :param texts: data of the events, in order.
+    :param versions: weight versions that generated it, oldest first.
     :param last_event: number of the last event of the text.
-    :param whole: whether the text is whole, and only its score is missing.
-    :param scoring_failures: scoring calls that were answered as failed.
+    :param whole: whether the text is complete and only its score is missing.
+    :param scoring_failures: scoring calls that returned a failure.
     """
 
     item: str
@@ -135,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A batch as its caller sends it."""
+    """A batch as submitted by its caller."""
 
     items: tuple[BatchItem, ...]
     model: str = ''
@@ -146,9 +151,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Part of a batch's results.
+    """Page of a batch's results.
 
-    :param position: position of the first of them.
+    :param total: number of items of the batch.
+    :param position: position of the first result of the page.
     """
 
     total: int
@@ -160,8 +166,8 @@
 class StreamEvent:
     """One event of an upstream's stream.
 
-    :param number: grows by one with each event of an answer.
-    :param weight_version: version from this event on, 0 if unchanged.
+    :param number: sequence number of the event within its response.
+    :param weight_version: weight version from this event on, 0 if unchanged.
     """
 
     number: int
--- a/quetzalcourse/state/calls.py
+++ b/quetzalcourse/state/calls.py
@@ -1,4 +1,4 @@
-"""Calls of callers and answers of upstreams, free of their wire names."""
+"""Callers' requests and upstreams' responses, independent of wire names."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class RequestHead:
     """A caller's request without its body.
 
-    :param target: path and query as the caller wrote them.
-    :param headers: names in lower case, in the order they came.
+    :param target: path and query as the caller sent them.
+    :param headers: in the order of arrival, with names in lower case.
     """
 
     method: str
@@ -28,22 +28,25 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Target without its query."""
         return self.target.partition('?')[0]
 
     def find(self, name: str) -> str:
-        """Find the first header of a name in lower case, or nothing."""
+        """Find the first header of a name, given in lower case.
+
+        :returns: its value, empty if there is none.
+        """
         return next((text for known, text in self.headers if known == name), '')
 
 
 @dataclass(frozen=True, slots=True)
 class CallerMetadata:
-    """What a caller says of its request.
+    """Metadata that a caller sends with its request.
 
     :param request_id: id of this attempt of the caller.
-    :param key: secret that names the client account, empty if none came.
-    :param time_left: how long the caller will wait, if it says so.
-    :param resume_after: id of the last event that it has, if any.
+    :param key: secret that identifies the client account, empty without one.
+    :param time_left: time until the caller's deadline, if it has one.
+    :param resume_after: id of the last event that it received, if any.
     """
 
     request_id: str
@@ -53,7 +56,7 @@
 
 
 class BatchOperation(enum.StrEnum):
-    """What a caller wants of a batch that exists."""
+    """Operation on an existing batch."""
 
     read_results = 'read_results'
     read_item = 'read_item'
@@ -62,10 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchCall:
-    """A call about a batch that was submitted before.
+    """A caller's request for an operation on an existing batch.
 
-    :param position: first result to return.
-    :param item: id of the item whose body is wanted.
+    :param position: position of the first result to return.
+    :param item: id of the item whose body is read.
     :param wait: how long to wait for a result.
     """
 
@@ -77,11 +80,11 @@
 
 
 class ResponseOutcome(enum.StrEnum):
-    """What an upstream's answer says of its request.
+    """Outcome of a request according to the upstream's response.
 
-    ``failed`` is the upstream's own failure, which counts towards giving a
-    request up; ``unfinished`` says nothing of the request itself, such as
-    that its time was over.
+    ``failed`` is a failure of the upstream, which counts against the attempts
+    of the request; ``unfinished`` says nothing about the request itself, for
+    example that its deadline passed.
     """
 
     served = 'served'
@@ -94,13 +97,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseMetadata:
-    """What the head of an upstream's answer says.
+    """Metadata in the head of an upstream's response.
 
-    :param state: ``not_run`` only if the upstream said so itself,
-        ``foreign`` if the answer belongs to another request.
-    :param load: load that it tells, if it does.
-    :param weight_version: version of the first token, if it has one.
-    :param stamp: mark that the upstream puts on each answer of its own.
+    :param state: ``not_run`` only if the upstream itself said so, ``foreign``
+        if the response belongs to another request.
+    :param load: load report of the upstream, if it sent one.
+    :param weight_version: weight version of the first token, 0 without one.
+    :param stamp: value that the upstream sets on all of its own responses.
     """
 
     state: ResponseOutcome
@@ -111,12 +114,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptMetadata:
-    """What an upstream is told with a request.
+    """Metadata that is sent to an upstream with a request.
 
-    :param upstream: id of the upstream that is meant.
-    :param client_account: whom the request runs for, empty for nobody.
-    :param time_left: when it must stop work.
-    :param resume_after: number of the last event that is known already.
+    :param upstream: id of the intended upstream.
+    :param client_account: account that the request runs for, empty for none.
+    :param time_left: time after which the upstream must stop.
+    :param resume_after: number of the last event that was received already.
     """
 
     upstream: str
--- a/quetzalcourse/state/clock.py
+++ b/quetzalcourse/state/clock.py
@@ -1,4 +1,4 @@
-"""Interface to time, so that decisions can be driven by a fake clock."""
+"""Clock interface, which lets tests replace the system clock."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Clock(Protocol):
-    """Source of time for every decision."""
+    """Source of time for all decisions."""
 
     def elapsed(self) -> timedelta:
-        """Tell the time since boot, suspended time included."""
+        """Return the time since boot, including suspended time."""
 
     def now(self) -> datetime:
-        """Tell the calendar time in UTC, for people and reports only."""
+        """Return the calendar time in UTC, for people and reports only."""
 
     async def sleep(self, duration: timedelta) -> None:
-        """Pause the calling task.
+        """Suspend the calling task.
 
-        :param duration: how long to pause; zero or less yields once.
+        :param duration: zero or less yields to the event loop once.
         """
--- a/quetzalcourse/state/counters.py
+++ b/quetzalcourse/state/counters.py
@@ -1,4 +1,4 @@
-"""Counts that decisions keep and that ``/metrics`` shows."""
+"""Counters, gauges and histograms that ``/metrics`` exposes."""
 
 from __future__ import annotations
 
@@ -28,10 +28,12 @@
 
 @dataclass(slots=True)
 class Histogram:
-    """Observations sorted into fixed buckets.
+    """Histogram with fixed buckets.
 
-    :param buckets: counts below each of :data:`LATENCY_BUCKET_BOUNDS`, then
-        above.
+    :param buckets: counts up to each of :data:`LATENCY_BUCKET_BOUNDS`, in
+        seconds, then the count above the last one.
+    :param total: sum of the observations, in seconds.
+    :param count: number of observations.
     """
 
     buckets: list[int] = field(
@@ -42,43 +44,43 @@
 
 
 def sort_labels(labels: dict[str, str]) -> Labels:
-    """Bring labels into the order that makes them comparable."""
+    """Sort labels by name, so that equal sets compare as equal."""
     return tuple(sorted(labels.items()))
 
 
 class Counters:
-    """Everything that a daemon counts about itself."""
+    """Registry of a daemon's metrics."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start without metrics."""
         self.counts: dict[str, dict[Labels, float]] = {}
         self.gauges: dict[str, dict[Labels, float]] = {}
         self.histograms: dict[str, dict[Labels, Histogram]] = {}
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a count that only grows.
+        """Increment a counter.
 
         :param name: metric name, without the package's prefix.
-        :param amount: how much to add.
+        :param amount: increment, not negative.
         """
         series = self.counts.setdefault(name, {})
         key = sort_labels(labels)
         series[key] = series.get(key, 0) + amount
 
     def set(self, name: str, level: float, **labels: str) -> None:
-        """Set a figure that rises and falls."""
+        """Set a gauge."""
         self.gauges.setdefault(name, {})[sort_labels(labels)] = level
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Sort one observation into the buckets of a distribution."""
+        """Add an observation to a histogram."""
         series = self.histograms.setdefault(name, {})
-        distribution = series.setdefault(sort_labels(labels), Histogram())
-        distribution.buckets[bisect_left(LATENCY_BUCKET_BOUNDS, seconds)] += 1
-        distribution.total += seconds
-        distribution.count += 1
+        histogram = series.setdefault(sort_labels(labels), Histogram())
+        histogram.buckets[bisect_left(LATENCY_BUCKET_BOUNDS, seconds)] += 1
+        histogram.total += seconds
+        histogram.count += 1
 
     def read(self, name: str, **labels: str) -> float:
-        """Read a count or gauge; zero if it was never written."""
+        """Read a counter or gauge; zero if it was never written."""
         key = sort_labels(labels)
         series = self.counts.get(name) or self.gauges.get(name) or {}
         return series.get(key, 0)
--- a/quetzalcourse/state/engines.py
+++ b/quetzalcourse/state/engines.py
@@ -1,4 +1,4 @@
-"""Engines as they report themselves, and the orders they take."""
+"""Reports of engines and the orders that are sent to them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine said of itself, which lags behind what it does.
+    """Status report of an engine, which lags behind its actual state.
 
-    :param slots: requests that it runs at once.
+    :param slots: maximum of concurrent requests.
+    :param running: requests that it runs.
     :param queued: requests that wait inside the engine.
-    :param weight_version: version that new tokens are made with.
-    :param leaving: whether it gave notice that it will go away.
+    :param weight_version: weight version that generates new tokens.
+    :param leaving: whether it announced that it is draining.
     """
 
     slots: int
@@ -30,8 +31,8 @@
 class CacheChange:
     """Change of an engine's prefix cache.
 
-    :param sequence: grows by one a change; a gap means lost changes.
-    :param stored: whether the prefix came in or went out.
+    :param sequence: incremented with each change; a gap means lost changes.
+    :param stored: whether the prefix was stored or evicted.
     """
 
     sequence: int
@@ -40,7 +41,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an engine can be told to do."""
+    """Operation that an engine is ordered to perform."""
 
     load_version = 'load_version'
     load_model = 'load_model'
@@ -52,9 +53,9 @@
 class EngineOrder:
     """Order to an engine.
 
-    :param order_id: idempotency key; the same order again does no harm.
+    :param order_id: idempotency key; repeating an order has no effect.
     :param token: fencing token of the sender's lease.
-    :param name: model, adapter or role, as the kind demands.
+    :param name: name of the model, adapter or role, depending on the kind.
     :param version: weight version to load.
     """
 
@@ -66,7 +67,7 @@
 
 
 class OrderProblem(enum.StrEnum):
-    """Why an order is not known to have been taken."""
+    """Reason why an order is not known to have been accepted."""
 
     not_sent = 'not_sent'
     unanswered = 'unanswered'
--- a/quetzalcourse/state/fleet.py
+++ b/quetzalcourse/state/fleet.py
@@ -1,4 +1,4 @@
-"""Upstreams as they are ordered from the platform."""
+"""Fleet of upstreams: orders to the platform, demand and spending."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class FleetPlace:
-    """A kind of upstream in a data centre."""
+    """Upstreams of one kind in one data centre."""
 
     data_centre: str
     kind: str
@@ -18,13 +18,13 @@
 class FleetOrder:
     """Order for a number of upstreams.
 
-    :param order_id: idempotency key; the same order again does no harm.
+    :param order_id: idempotency key; repeating an order has no effect.
     :param token: fencing token of the sender's lease.
-    :param count: how many upstreams of the kind there should be.
+    :param count: desired number of upstreams of the kind.
     :param deadline: seconds since the epoch, after which a receiver that
-        looks at it must not act any more.
+        honours deadlines must not act on the order.
     :param notice_seconds: time that upstreams get to drain before they are
-        taken away.
+        removed.
     """
 
     order_id: str
@@ -37,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetCount:
-    """Upstreams as the platform lists them.
+    """Number of upstreams that the platform lists.
 
-    :param reclaimed: whether they are about to be taken away.
+    :param reclaimed: whether the platform is about to reclaim them.
     """
 
     place: FleetPlace
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderIntent:
-    """Row of what was last decided for a place.
+    """Row with the last scaling decision for a kind in a data centre.
 
-    :param sequence: grows by one with every decision.
-    :param settled: whether the platform took the order or refused it.
+    :param sequence: incremented with every decision.
+    :param settled: whether the platform has accepted or refused the order.
     """
 
     place: FleetPlace
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What callers ask for.
+    """Token demand of callers.
 
-    :param human_tokens: tokens a second for human callers.
-    :param training_tokens: tokens a second for trainers.
+    :param human_tokens: tokens per second for human callers.
+    :param training_tokens: tokens per second for trainers.
     """
 
     human_tokens: float
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The fleet as it is.
+    """Current state of the fleet.
 
-    :param counts: upstreams of each place.
-    :param unavailable: places that can't be had now.
+    :param counts: upstreams of each kind in each data centre.
+    :param unavailable: where no further upstreams can be ordered now.
     :param since_growth: time since each place last grew.
     :param budget_left: money left in the budget's period.
     :param period_left: time left in it.
@@ -93,11 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetDecision:
-    """What the fleet should be.
+    """Desired state of the fleet.
 
-    :param counts: upstreams of each place.
-    :param unmet: tokens a second that the budget or the kinds leave unmet.
-    :param over_budget: whether the budget holds back what demand needs.
+    :param counts: upstreams of each kind in each data centre.
+    :param unmet: tokens per second that can't be served within the budget
+        and the available kinds.
+    :param over_budget: whether the demand exceeds what the budget allows.
     """
 
     counts: dict[FleetPlace, int]
@@ -107,12 +108,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SpendingRecord:
-    """Row of what was spent in the budget's period.
+    """Row with the spending of the current budget period.
 
-    :param started: seconds since the epoch at which the period began.
-    :param updated: seconds since the epoch up to which is counted.
-    :param spent: money spent in the period so far.
-    :param rate: money an hour since ``updated``.
+    :param started: start of the period, in seconds since the epoch.
+    :param updated: time up to which spending is counted, in seconds since
+        the epoch.
+    :param spent: money spent in the period until ``updated``.
+    :param rate: money per hour since ``updated``.
     """
 
     started: float
--- a/quetzalcourse/state/generation.py
+++ b/quetzalcourse/state/generation.py
@@ -1,4 +1,4 @@
-"""Requests for generated tokens, their pieces and their attempts."""
+"""Generation requests, their chunks of tokens and their attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TrafficClass(enum.StrEnum):
-    """Who waits for the answer."""
+    """Class of the caller that waits for the response."""
 
     human = 'human'
     training = 'training'
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRequest:
-    """A request for tokens.
+    """A request to generate tokens.
 
     :param deadline: time since boot at which the caller stops waiting.
-    :param seed: makes the tokens repeatable.
-    :param weight_version: version to run on, or ``None`` for any.
-    :param oldest_version: versions below it are too stale to be used.
-    :param received: tokens that are there already; generation goes on
-        behind them and yields only what follows.
+    :param seed: random seed that makes the tokens reproducible.
+    :param weight_version: weight version to run on, ``None`` for any.
+    :param oldest_version: oldest weight version that may be used.
+    :param received: tokens that were received already; generation resumes
+        after them and returns only the following tokens.
     :param avoid: names of upstreams to use only if there is no other.
     """
 
@@ -47,15 +47,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Tokens that an engine sent together.
+    """Chunk of tokens in an engine's response.
 
-    :param request_id: request that the engine says they answer.
-    :param offset: position of the first token in the whole answer.
+    :param request_id: id of the request that the engine names.
+    :param offset: position of the first token in the complete response.
     :param tokens: texts of the tokens.
-    :param weight_version: version that made them, as the engine named it.
+    :param weight_version: weight version that the engine names.
     :param finish_reason: set on the last chunk only.
-    :param prompt_tokens: length of the prompt, known on the last chunk.
-    :param upstream: name of the upstream that the chunk came from.
+    :param prompt_tokens: length of the prompt, set on the last chunk only.
+    :param upstream: name of the upstream that sent the chunk.
     """
 
     request_id: str
@@ -68,7 +68,7 @@
 
 
 class AttemptState(enum.StrEnum):
-    """What is known of one attempt to run a request on an upstream."""
+    """Known state of an attempt to run a request on an upstream."""
 
     not_sent = 'not_sent'
     maybe_sent = 'maybe_sent'
--- a/quetzalcourse/state/gossip.py
+++ b/quetzalcourse/state/gossip.py
@@ -1,4 +1,4 @@
-"""What daemons tell one another of manifest and keys."""
+"""Gossip messages between daemons about the manifest and keys."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GossipKind(enum.IntEnum):
-    """Steps by which news travels between two daemons."""
+    """Step of the exchange between two daemons."""
 
     announce = 0
     ask = 1
@@ -20,13 +20,13 @@
 
 
 class ManifestMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One message about the manifest.
+    """Message about the manifest.
 
-    :param version: version that the sender has in force.
-    :param sections: content hashes by section, with ``head``.
-    :param accepted: fingerprints of the last versions, with ``head``.
-    :param wanted: content hashes that the sender lacks, with ``want``.
-    :param contents: sections by content hash, with ``contents``.
+    :param version: version in force at the sender.
+    :param sections: content hashes by section, in a ``head``.
+    :param accepted: fingerprints of the last versions, in a ``head``.
+    :param wanted: content hashes that the sender lacks, in a ``want``.
+    :param contents: sections by content hash, in ``contents``.
     """
 
     kind: GossipKind
@@ -38,10 +38,10 @@
 
 
 class KeyMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One message about keys.
+    """Message about keys.
 
-    :param records: changes of keys, with ``contents``.
-    :param buckets: hash of each bucket of records, with ``ask``.
+    :param records: changes of keys, in ``contents``.
+    :param buckets: hash of each bucket of records, in an ``ask``.
     """
 
     kind: GossipKind
--- a/quetzalcourse/state/heartbeats.py
+++ b/quetzalcourse/state/heartbeats.py
@@ -1,4 +1,4 @@
-"""What daemons tell one another of themselves and of others."""
+"""Heartbeat messages of the SWIM-style membership protocol of daemons."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MemberStatus(enum.IntEnum):
-    """What is held of a daemon; of two the higher one wins."""
+    """Status of a daemon; of two, the higher one takes precedence."""
 
     alive = 0
     suspect = 1
@@ -18,10 +18,11 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """News of one daemon.
+    """Membership update about one daemon.
 
-    :param counter: raised by the daemon itself with each refutation or
-        announcement; of two changes the higher counter wins.
+    :param counter: incremented by the daemon itself with each refutation or
+        announcement; of two updates, the higher counter takes precedence.
+    :param standing: status of the daemon.
     """
 
     vm: str
@@ -33,7 +34,7 @@
     standing: MemberStatus
 
     def to_member(self) -> Member:
-        """Tell whom the news is about."""
+        """Return the daemon that the update is about."""
         return Member(
             self.vm,
             self.incarnation,
@@ -43,15 +44,15 @@
         )
 
     def supersedes(self, other: MemberUpdate) -> bool:
-        """Tell whether this news replaces other news of the same daemon."""
-        mine = (self.counter, self.standing)
-        return mine > (other.counter, other.standing)
+        """Return whether it replaces another update about the same daemon."""
+        precedence = (self.counter, self.standing)
+        return precedence > (other.counter, other.standing)
 
 
 def build_update(
     member: Member, counter: int, standing: MemberStatus
 ) -> MemberUpdate:
-    """Make news of a daemon."""
+    """Build the update about a daemon."""
     return MemberUpdate(
         member.vm,
         member.incarnation,
@@ -64,7 +65,7 @@
 
 
 class HeartbeatKind(enum.IntEnum):
-    """What a heartbeat asks for."""
+    """Type of a heartbeat message."""
 
     ping = 0
     answer = 1
@@ -74,17 +75,18 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True):
-    """One heartbeat.
+    """Heartbeat message.
 
     :param counter: counter of the sender itself.
-    :param manifest: version that the sender has in force.
-    :param keys: hash of the key changes that the sender knows.
-    :param view: hash of the sender's list of daemons.
-    :param changes: news of other daemons.
-    :param subject: address, for a relay: whom to ask, or who answered.
-    :param hashes: hash of the list of each data centre, for a view request.
-    :param news_age: milliseconds since the store was last read by anyone the
-        sender heard of, -1 for never.
+    :param manifest: manifest version in force at the sender.
+    :param keys: hash of the key changes that the sender has.
+    :param view: hash of the sender's membership view.
+    :param changes: updates about other daemons.
+    :param subject: for a relayed ping, address of the daemon to ping or of
+        the one that answered.
+    :param hashes: hash of the view of each data centre, for a view request.
+    :param news_age: milliseconds since the last read of the store by any
+        daemon that the sender knows of, -1 for never.
     """
 
     kind: HeartbeatKind
--- a/quetzalcourse/state/keys.py
+++ b/quetzalcourse/state/keys.py
@@ -1,4 +1,4 @@
-"""Changes of keys that are made outside the manifest."""
+"""Key grants and withdrawals that are made outside the manifest."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     """A key that was granted or withdrawn.
 
     :param key_id: public part of the key.
-    :param client_account: account that it acts for; empty if only withdrawn.
-    :param digest: SHA-256 of the secret part; empty if only withdrawn.
-    :param withdrawn: a tombstone, which beats every grant.
+    :param client_account: account of the key, empty if only withdrawn.
+    :param digest: SHA-256 of the secret part, empty if only withdrawn.
+    :param withdrawn: whether it is a tombstone, which overrides every grant.
     """
 
     key_id: str
@@ -27,9 +27,9 @@
     def merge(self, other: KeyRecord) -> KeyRecord:
         """Merge with another record of the same key.
 
-        Any two daemons that saw the same records in any order must hold the
-        same one: a tombstone stays, and grants that clash are ordered by
-        their bytes.
+        Daemons that received the same records in any order must converge to
+        the same result: a tombstone persists, and of conflicting grants the
+        one with the greater bytes is kept.
         """
         grant = max(
             (self.digest, self.client_account),
@@ -40,14 +40,14 @@
 
 
 def build_tombstone(key_id: str) -> KeyRecord:
-    """Make the tombstone of a key."""
+    """Build the tombstone of a key."""
     return KeyRecord(key_id, withdrawn=True)
 
 
 def validate_record(record: KeyRecord) -> str:
-    """Find what is wrong with a change that an operator asks for.
+    """Check a change that an operator requests.
 
-    :returns: the fault, empty if there is none.
+    :returns: the error, empty if the change is valid.
     """
     if not KEY_ID_PATTERN.fullmatch(record.key_id):
         return 'A key id has 1 to 64 letters, digits, "-" and "_".'
--- a/quetzalcourse/state/lease.py
+++ b/quetzalcourse/state/lease.py
@@ -1,4 +1,4 @@
-"""Leases as they stand in the platform's table."""
+"""Leases: rows in the platform's table, timings and status."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class LeaseRecord:
     """Content of a lease's row.
 
-    :param holder: contender that holds the lease; empty when released.
-    :param token: fencing token; grows by one with every new holder.
-    :param renewal: grows by one with every renewal.
+    :param holder: contender that holds the lease, empty when released.
+    :param token: fencing token, incremented with every new holder.
+    :param renewal: incremented with every renewal.
     """
 
     holder: str
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimings:
-    """Times that holder and contenders agree on.
+    """Timings of a lease, identical for its holder and contenders.
 
-    :param term: how long a confirmed renewal lasts.
-    :param margin: extra time that a contender waits, for clocks that run at
+    :param term: validity of a confirmed renewal.
+    :param margin: extra time that a contender waits because clocks run at
         different rates.
-    :param order_timeout: how long before its end a holder stops sending to
-        receivers that ignore fencing tokens; contenders wait that much
-        longer.
+    :param order_timeout: time before the end of the term at which a holder
+        stops sending to receivers that ignore fencing tokens; contenders
+        wait that much longer.
     """
 
     term: timedelta
@@ -46,24 +46,24 @@
 
     @property
     def wait(self) -> timedelta:
-        """How long a contender must have seen the row unchanged."""
+        """How long a contender must see the row unchanged before it acts."""
         return self.term + self.margin + self.order_timeout
 
 
 def compute_min_margin(term: timedelta, drift_bound: float) -> timedelta:
-    """Work out the least margin for clocks that run at different rates.
+    """Compute the smallest safe margin for clocks with different rates.
 
-    A fast contender waits ``term + margin`` in ``1 / (1 + drift_bound)`` of
-    that time, while a slow holder keeps the lease for
-    ``term / (1 - drift_bound)``.
+    A contender with a fast clock waits ``term + margin`` in only
+    ``1 / (1 + drift_bound)`` of that time, while a holder with a slow clock
+    keeps the lease for ``term / (1 - drift_bound)``.
 
-    :param drift_bound: most that a clock's rate is off from true, as a share.
+    :param drift_bound: largest relative error of a clock's rate.
     """
     return term * (2 * drift_bound / (1 - drift_bound))
 
 
 class LeaseState(enum.StrEnum):
-    """Who holds a lease, as one daemon sees it."""
+    """Holder of a lease, as seen by one daemon."""
 
     held = 'held'
     other = 'other'
@@ -72,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseStatus:
-    """A lease as one daemon sees it.
+    """Status of a lease, as seen by one daemon.
 
     :param holder: contender named by the row when it was last read.
-    :param silent_seconds: time since the table last answered about it.
+    :param silent_seconds: time since the table's last response about it.
     """
 
     lease: str
--- a/quetzalcourse/state/manifest.py
+++ b/quetzalcourse/state/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest as the decisions see it."""
+"""Data classes of the manifest, in which operators configure the service."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UpstreamKind(enum.StrEnum):
-    """What an upstream runs."""
+    """Type of an upstream."""
 
     engine = 'engine'
     service = 'service'
@@ -18,10 +18,10 @@
 class ClientAccount:
     """A client account and its limits.
 
-    :param weight: share of the engines' tokens against other accounts.
+    :param weight: weight of its share of the engines' tokens.
     :param requests_per_second: rate above which requests are refused.
-    :param concurrent: requests that may run at once.
-    :param queued: requests that may wait at once.
+    :param concurrent: maximum of running requests.
+    :param queued: maximum of waiting requests.
     """
 
     name: str
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHash:
-    """A key as the manifest names it.
+    """A key with the hash of its secret.
 
     :param key_id: public part of the key.
-    :param client_account: account that the key acts for.
+    :param client_account: account of the key.
     :param digest: SHA-256 of the secret part, in hexadecimal.
     """
 
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Trainer:
-    """A trainer that may ask for steps.
+    """A trainer that may create steps.
 
-    :param staleness_bound: how many weight versions a sample may lag.
+    :param staleness_bound: how many weight versions a sample may lag behind.
     :param scored: whether samples are scored before delivery.
-    :param scoring_repeatable: whether a scoring call may be sent again
-        under the same idempotency key.
+    :param scoring_repeatable: whether a scoring call may be repeated with
+        the same idempotency key.
     """
 
     name: str
@@ -67,12 +67,12 @@
 class Upstream:
     """A server that runs requests.
 
-    :param address: IP number and port.
-    :param slots: requests that it runs at once.
-    :param human_headroom: slots that training leaves free.
-    :param cheap: may be reclaimed at short notice.
-    :param checks_fencing: refuses orders with an old fencing token.
-    :param price_per_hour: cost of the upstream, in the manifest's currency.
+    :param address: IP address and port.
+    :param slots: maximum of concurrent requests.
+    :param human_headroom: slots that training leaves free for humans.
+    :param cheap: whether it may be reclaimed at short notice.
+    :param checks_fencing: whether it refuses orders with an old fencing token.
+    :param price_per_hour: price in the manifest's currency.
     """
 
     name: str
@@ -90,10 +90,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service.
+    """A service that is not an engine.
 
     :param upstreams: names of the upstreams that run it.
-    :param repeatable_methods: HTTP methods that may be sent twice.
+    :param repeatable_methods: HTTP methods that may be retried.
     """
 
     name: str
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceWindow:
-    """Time in which an upstream gets no work."""
+    """Period in which an upstream gets no work."""
 
     upstream: str
     starts: datetime
@@ -112,12 +112,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """A promise with its error budget.
+    """A service level objective with its error budget.
 
-    :param indicator: what is counted, such as ``human_latency``.
-    :param objective: share that must be good, between 0 and 1.
-    :param threshold: bound that makes an event good, if there is one.
-    :param period: time over which the budget is counted.
+    :param indicator: what is measured, such as ``human_latency``.
+    :param objective: share of good events, between 0 and 1.
+    :param threshold: upper bound of a good event, if there is one.
+    :param period: period of the error budget.
     """
 
     name: str
@@ -131,11 +131,11 @@
 class FleetKind:
     """A kind of upstream that can be ordered.
 
-    :param price_per_hour: cost of one, in the manifest's currency.
-    :param tokens_per_second: what one of them generates at full load.
-    :param cheap: may be reclaimed at short notice.
-    :param data_centres: where it can be had.
-    :param largest: most of them in one data centre.
+    :param price_per_hour: price of one, in the manifest's currency.
+    :param tokens_per_second: throughput of one at full load.
+    :param cheap: whether it may be reclaimed at short notice.
+    :param data_centres: where it can be ordered.
+    :param largest: maximum number in one data centre.
     """
 
     name: str
@@ -148,19 +148,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """Bounds and money for ordering upstreams.
+    """Limits and budget of autoscaling.
 
     :param budget_per_hour: spending that must not be exceeded.
-    :param smallest: fewest upstreams to keep.
-    :param largest: most upstreams to order.
-    :param kinds: what can be ordered; without any nothing is ordered.
-    :param utilisation: share of the capacity that demand should fill.
-    :param slack: share by which demand must have fallen before upstreams
-        are given back.
-    :param cool_down: time between a change and giving upstreams back.
-    :param largest_change: most upstreams of a place to change at once.
+    :param smallest: minimum number of upstreams.
+    :param largest: maximum number of upstreams.
+    :param kinds: kinds that can be ordered; nothing is ordered without one.
+    :param utilisation: target utilisation of the capacity.
+    :param slack: share by which demand must have fallen before scaling down.
+    :param cool_down: time between a change and scaling down.
+    :param largest_change: maximum change of a kind in a data centre at once.
     :param notice: time that the platform gives upstreams to drain.
-    :param budget_period: time over which the budget is kept.
+    :param budget_period: period over which the budget applies.
     """
 
     budget_per_hour: float = 0.0
@@ -177,9 +176,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """Everything that operators decide, in one version.
+    """One version of the operators' configuration.
 
-    :param version: grows by one with every accepted manifest.
+    :param version: incremented with every accepted manifest.
     """
 
     version: int = 0
--- a/quetzalcourse/state/members.py
+++ b/quetzalcourse/state/members.py
@@ -1,4 +1,4 @@
-"""Daemons as they know one another."""
+"""Members of the cluster of daemons, and the topics of their messages."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     """One run of a daemon.
 
     :param vm: id of the VM.
-    :param incarnation: name of this run; a replaced VM has another.
-    :param address: IP number and port for messages between daemons.
-    :param leaving: whether it has begun its graceful shutdown.
-    :param cores: processor time that its VM has, in cores.
+    :param incarnation: id of this run; a replaced VM has another one.
+    :param address: IP address and port for messages between daemons.
+    :param leaving: whether it has started its graceful shutdown.
+    :param cores: processor cores of its VM.
     """
 
     vm: str
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Vm:
-    """An entry VM as the platform lists it.
+    """An entry VM as listed by the platform.
 
-    :param address: where its daemon listens for other daemons.
+    :param address: address for messages to its daemon.
     """
 
     vm: str
@@ -39,7 +39,7 @@
 
 
 class Topic(enum.StrEnum):
-    """Kinds of messages between daemons, a handler each."""
+    """Topics of messages between daemons, each with one handler."""
 
     heartbeat = 'heartbeat'
     manifest = 'manifest'
--- a/quetzalcourse/state/pool.py
+++ b/quetzalcourse/state/pool.py
@@ -1,4 +1,4 @@
-"""Upstreams as they register themselves."""
+"""Registrations and load reports of upstreams."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolMember:
-    """One run of an upstream.
+    """Registration of one run of an upstream.
 
     :param name: id that it checks before it runs a request.
-    :param address: IP number and port.
-    :param slots: requests that it runs at once.
-    :param leaving: whether it takes no new work.
+    :param address: IP address and port.
+    :param slots: maximum of concurrent requests.
+    :param leaving: whether it is draining and takes no new work.
     :param versions: weight version of each model that it holds.
-    :param started: when this run of it began, 0 if it does not say; the
-        next run may have the same name and knows nothing of this one.
-    :param leaves_in: time until it is gone, if it was told.
-    :param cold_for: time for which it still takes few requests.
+    :param started: start of this run, 0 if not given; the next run may have
+        the same name but shares no state with this one.
+    :param spot: whether it is a spot instance.
+    :param leaves_in: time until it stops, if it is known.
+    :param cold_for: remaining time of its cold start.
     """
 
     name: str
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load that an upstream tells with an answer."""
+    """Load that an upstream reports with a response."""
 
     running: int
     waiting: int
@@ -44,5 +45,5 @@
 
     @property
     def total(self) -> int:
-        """Requests that it has, running or not."""
+        """Number of running and waiting requests."""
         return self.running + self.waiting
--- a/quetzalcourse/state/quarantine.py
+++ b/quetzalcourse/state/quarantine.py
@@ -1,4 +1,4 @@
-"""What is known of requests that end the upstreams which run them."""
+"""Records of requests that crash the upstreams which run them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class RequestState(enum.StrEnum):
-    """How a request may be run, as a circuit breaker for each request.
+    """State of a request's circuit breaker.
 
-    ``suspect`` runs at an upstream that runs no other suspect, so that the next
-    end shows which request it was. ``held`` waits until it is known whether
-    the upstreams have ended. ``due`` is a quarantined request whose next trial
-    may begin.
+    A ``suspect`` request runs only at an upstream that runs no other suspect,
+    so that the next crash identifies its cause. A ``held`` request waits until
+    it is known whether the upstreams have crashed. A ``due`` request is
+    quarantined, but its next trial may start.
     """
 
     sound = 'sound'
@@ -28,11 +28,11 @@
 
 @dataclass(slots=True)
 class UpstreamCrash:
-    """A run of an upstream that seems to have ended.
+    """Presumed crash of a run of an upstream.
 
     :param at: time since boot at which this daemon learned of it.
-    :param address: where the upstream listened.
-    :param confirmed: whether another run has taken its place.
+    :param address: address of the upstream.
+    :param confirmed: whether a new run has taken its place.
     """
 
     at: timedelta
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """Upstreams that ended under a request since it was last answered.
+    """Upstreams that crashed under a request since its last answer.
 
-    :param crashes: by the runs that ended while they ran it.
-    :param changed_at: time since boot of the last end or of the quarantine.
-    :param quarantined_until: time since boot until which nothing runs it,
+    :param crashes: crashes by the run of the upstream.
+    :param changed_at: time since boot of the last crash or quarantine.
+    :param quarantined_until: time since boot until which it may not run,
         ``None`` if it is not quarantined.
-    :param trials: trials that were begun since it was quarantined.
+    :param trials: number of trials since it was quarantined.
     """
 
     crashes: dict[UpstreamRun, UpstreamCrash] = field(default_factory=dict)
--- a/quetzalcourse/state/refusal.py
+++ b/quetzalcourse/state/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals: what a caller is told when its request is not served."""
+"""Refusals: error responses to requests that are not served."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RefusalCode(enum.StrEnum):
-    """Stable codes that callers may test for."""
+    """Stable error codes that callers may check."""
 
     unauthenticated = 'unauthenticated'
     key_withdrawn = 'key_withdrawn'
@@ -40,12 +40,12 @@
 class Refusal:
     """Reason why a request was not served.
 
-    :param code: stable code of the reason.
-    :param message: short sentence for a person.
-    :param not_run: true only if no upstream began to run the request.
-    :param retry_after: when asking again makes sense, if it does.
-    :param step: part of the work at which the refusal arose.
-    :param peer: upstream or daemon that caused it, if one did.
+    :param code: stable error code.
+    :param message: short sentence for people.
+    :param not_run: true only if no upstream started to run the request.
+    :param retry_after: time after which a retry may succeed, if any.
+    :param step: processing step that refused the request.
+    :param peer: upstream or daemon that caused the refusal, if any.
     """
 
     code: RefusalCode
--- a/quetzalcourse/state/routing.py
+++ b/quetzalcourse/state/routing.py
@@ -1,4 +1,4 @@
-"""The routing manifest: routes, services, client accounts and limits."""
+"""Routing manifest: routes, services, client accounts and limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be done again with a request of a route."""
+    """Whether requests of a route may be retried, or are batches."""
 
     idempotent = 'idempotent'
     non_idempotent = 'non_idempotent'
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route leads to.
+    """Service that receives requests of a route.
 
-    :param weight: share of the route's requests against other targets.
+    :param weight: weight of its share of the route's requests.
     """
 
     service: str
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host and path prefix, and how they are served.
-
-    :param prefix: begins and ends with a slash.
-    :param timeout: longest time that a caller is kept waiting.
-    :param target_latency: time within which an answer is on time.
-    :param priority: rank, 0 before all others.
-    :param max_attempts: most upstreams that one request is sent to.
-    :param public: whether requests come without a key.
-    :param streaming: whether the answer is a stream of events.
-    :param resumable: whether a stream may go on at another upstream.
+    """Route of the requests with a host and path prefix.
+
+    :param prefix: path prefix that starts and ends with a slash.
+    :param timeout: maximum time that a caller waits.
+    :param target_latency: response time that is considered on time.
+    :param priority: rank, 0 is the highest priority.
+    :param max_attempts: maximum number of upstreams that a request is sent to.
+    :param public: whether requests need no key.
+    :param streaming: whether the response is a stream of events.
+    :param resumable: whether a stream may resume at another upstream.
     :param results_due: age of a batch at which its results are due.
-    :param item_lifetime: age of a batch after which its items may be given
-        up.
-    :param single_version: whether one item must not mix weight versions.
-    :param allowed_regions: where its requests may be handled.
+    :param item_lifetime: age of a batch after which its items may be
+        abandoned.
+    :param single_version: whether an item must not mix weight versions.
+    :param allowed_regions: regions where its requests may be handled.
     """
 
     name: str
@@ -69,9 +69,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalingRange:
-    """How many upstreams of a service may be ordered in a data centre.
+    """Number of upstreams of a service that may be ordered per data centre.
 
-    :param start: time from an order until its upstream serves.
+    :param start: time from an order until its upstream serves requests.
     """
 
     least: int
@@ -81,10 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """How gently an upstream is used after its start.
+    """Rate limit of an upstream after its start.
 
-    :param duration: how long it is cold.
-    :param requests_per_second: what it bears meanwhile.
+    :param duration: time after its start during which the limit applies.
+    :param requests_per_second: rate that it can serve during that time.
     """
 
     duration: timedelta
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Upstreams that stand in for one another.
+    """Service with interchangeable upstreams.
 
     :param models: models whose weights its upstreams hold.
     """
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits of callers' requests: sizes, header timeout and idle timeout."""
 
     header_bytes: int = 16384
     body_bytes: int = 33_554_432
@@ -116,11 +116,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountKeys:
-    """A client account with the keys that act for it.
+    """A client account and the hashes of its API keys.
 
-    :param key_digests: SHA-256 of each key; the keys themselves are not kept.
-    :param priority: rank that goes before the route's, if it has one.
-    :param allowed_regions: where its requests may be handled.
+    :param key_digests: SHA-256 of each key; the keys themselves are not stored.
+    :param priority: rank that overrides the route's, if there is one.
+    :param allowed_regions: regions where its requests may be handled.
     """
 
     client_account: str
@@ -131,9 +131,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingManifest:
-    """Everything that operators decide about routing.
+    """One version of the operators' routing configuration.
 
-    :param accounts: client accounts; ``None`` where no key is asked for.
+    :param accounts: client accounts, ``None`` if no keys are required.
     """
 
     version: int
--- a/quetzalcourse/state/rows.py
+++ b/quetzalcourse/state/rows.py
@@ -1,10 +1,11 @@
-"""Rows and transactions of the platform's table."""
+"""Rows and transactions of the platform's tables."""
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass
 
+# Version of a row that does not exist.
 ABSENT = 0
 
 
@@ -12,10 +13,9 @@
 class Row:
     """A row as it was read.
 
-    :param key: name of the row.
-    :param content: bytes of the row.
-    :param version: grows with every write; :data:`ABSENT` is no row.
-    :param removed: whether the change that is told is the row's removal.
+    :param version: increases with every write; :data:`ABSENT` if the row does
+        not exist.
+    :param removed: whether this is a change that removed the row.
     """
 
     key: str
@@ -26,10 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """Version that a row must have for a transaction to take effect.
+    """Expected version of a row, a precondition of a transaction.
 
-    :param key: name of the row.
-    :param version: expected version, :data:`ABSENT` for no row.
+    :param version: :data:`ABSENT` if the row must not exist.
     """
 
     key: str
@@ -38,10 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """New content of a row.
+    """Write of a row.
 
-    :param key: name of the row.
-    :param content: new bytes, or ``None`` to delete the row.
+    :param content: new content, ``None`` to delete the row.
     """
 
     key: str
@@ -50,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Writes that take effect together if every condition holds."""
+    """Writes that are applied atomically if every condition holds."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -58,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """Answer of the table to a transaction.
+    """Result of a transaction.
 
-    :param applied: whether the writes took effect.
-    :param conflicts: rows whose condition failed, as they are now.
-    :param version: version of the rows just written, where the table tells
-        it; :data:`ABSENT` where every row counts its own writes.
+    :param applied: whether the writes were applied.
+    :param conflicts: current rows of the conditions that failed.
+    :param version: version of the written rows if the table returns it,
+        :data:`ABSENT` if every row counts its own writes.
     """
 
     applied: bool
@@ -73,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RowChanges:
-    """Rows of a table, as of one of its versions.
+    """Rows of a table at one of its versions.
 
-    :param rows: in the order of their changes, or of their keys.
-    :param version: newest version that they show.
+    :param rows: in the order of their changes or of their keys.
+    :param version: newest version that they include.
     """
 
     rows: tuple[Row, ...]
@@ -84,7 +82,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What is known of a store request that failed."""
+    """Known effect of a store request that failed."""
 
     not_applied = 'not_applied'
     unanswered = 'unanswered'
@@ -94,11 +92,11 @@
 class StoreFault:
     """Failure of a request to the platform's store.
 
-    :param kind: ``unanswered`` means that a write may have taken effect.
+    :param kind: ``unanswered`` if a write may have been applied.
     :param step: the operation that failed.
     :param peer: address of the store.
-    :param history_lost: whether the changes that were asked for can't be
-        told any more, so that the rows must be read again.
+    :param history_lost: whether the requested changes are no longer
+        available, so that the rows must be read again.
     """
 
     kind: FaultKind
--- a/quetzalcourse/state/service_levels.py
+++ b/quetzalcourse/state/service_levels.py
@@ -1,4 +1,4 @@
-"""Events that service levels count, and what they add up to."""
+"""Service level indicators, their events and burn rate windows."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Indicator(enum.StrEnum):
-    """What a service level counts."""
+    """Service level indicator."""
 
     human_latency = 'human_latency'
     human_success = 'human_success'
@@ -18,7 +18,7 @@
 
 
 class Window(enum.StrEnum):
-    """Windows over which the burn rate is told."""
+    """Windows over which the burn rate is reported."""
 
     five_minutes = '5m'
     half_hour = '30m'
@@ -38,8 +38,8 @@
 class EventCount:
     """Events of a service level.
 
-    :param good: events that kept the promise.
-    :param bad: events that broke it.
+    :param good: events that met the objective.
+    :param bad: events that missed it.
     """
 
     good: float = 0
@@ -47,14 +47,14 @@
 
     @property
     def total(self) -> float:
-        """All events."""
+        """Number of all events."""
         return self.good + self.bad
 
     @property
     def bad_share(self) -> float:
-        """Share of the events that broke the promise, 0 without events."""
+        """Share of bad events, 0 without events."""
         return self.bad / self.total if self.total else 0.0
 
     def __add__(self, other: EventCount) -> EventCount:
-        """Add up the events of two sources."""
+        """Add the events of two sources."""
         return EventCount(self.good + other.good, self.bad + other.bad)
--- a/quetzalcourse/state/slots.py
+++ b/quetzalcourse/state/slots.py
@@ -1,4 +1,4 @@
-"""Slots of upstreams: who asks for one, and who holds one."""
+"""Slots of upstreams: requests, grants, allowances and load reports."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """Work that waits for a slot.
+    """Request for a slot.
 
-    :param candidates: names of the upstreams that could run it, best first.
-    :param deadline: time since boot after which a slot is of no use.
-    :param resumed: whether it goes on with work that was revoked; such work
-        was counted against the account's rate before.
+    :param candidates: names of the upstreams that can run it, best first.
+    :param deadline: time since boot after which a slot is useless.
+    :param resumed: whether it resumes revoked work, which has been counted
+        against the account's rate limit already.
     """
 
     client_account: str
@@ -31,10 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Leave to run one request on an upstream.
+    """Grant of a slot to run one request on an upstream.
 
-    :param revoked: set once the holder must stop its stream, give the slot
-        back and ask again; set for training only, when humans need the room.
+    :param revoked: set when the holder must stop its stream, return the slot
+        and request another one. Only training grants are revoked, when humans
+        need the slot.
     """
 
     upstream: Upstream
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueKey:
-    """Whose work it is: every queue and every fair share has one.
+    """Key of a queue and its fair share.
 
     :param account_id: short hash of the account's name.
     """
@@ -56,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountLoad:
-    """What one account has at one daemon for one upstream.
+    """Load of one account at one daemon for one upstream.
 
     :param waiting: requests that wait for a slot of this upstream.
-    :param oldest: how long the first of them has waited.
-    :param tokens: generated since the report before.
+    :param oldest: waiting time of the oldest of them.
+    :param tokens: tokens generated since the previous report.
     """
 
     key: QueueKey
@@ -72,13 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotReport:
-    """What a daemon tells the owner of an upstream, always in whole.
+    """Full report of a daemon to the owner of an upstream.
 
-    :param sequence: grows by one with each report on this upstream.
-    :param applied: number of the newest allowance that it follows.
-    :param held: slots of that allowance that have not lapsed.
+    :param sequence: incremented with each report on this upstream.
+    :param applied: number of the newest allowance in use.
+    :param held: slots of that allowance that have not expired.
     :param held_training: how many of them training may use.
-    :param spares: idle slots that it wants ready for human requests.
+    :param spares: idle slots that it keeps ready for human requests.
     """
 
     upstream: str
@@ -92,17 +93,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """How many requests a daemon may run on an upstream at once.
+    """Number of slots of an upstream that a daemon may use.
 
-    It ends one term after the report that it answers was sent, so a daemon
-    that is cut off knows by its own clock when it lapsed.
+    It expires one term after the report that it answers was sent, so a
+    partitioned daemon knows by its own clock when it has expired.
 
-    :param number: grows by one with each allowance to this daemon.
-    :param answers: sequence of the newest report that the owner had.
+    :param number: incremented with each allowance to this daemon.
+    :param answers: sequence of the newest report that the owner received.
     :param human: slots for human requests only.
     :param training: slots that training may use too.
-    :param revoke: training requests that must give their slot back now.
-    :param contended: whether others wait, so that idle slots are missed.
+    :param revoke: training requests that must return their slots now.
+    :param contended: whether other daemons wait for slots, so that idle ones
+        should be returned.
     """
 
     upstream: str
@@ -115,18 +117,18 @@
 
     @property
     def total(self) -> int:
-        """Requests of both classes that may run at once."""
+        """Number of slots for both classes."""
         return self.human + self.training
 
 
 @dataclass(frozen=True, slots=True)
 class SlotTimings:
-    """Times of the exchange between requesters and owners.
+    """Timings of the protocol between requesters and owners of slots.
 
-    :param term: life of an allowance after the report that it answers.
-    :param renewal: time between reports when nothing changes.
+    :param term: validity of an allowance from the report that it answers.
+    :param renewal: time between reports without changes.
     :param batch: how long changes that are not urgent are collected.
-    :param spare_hold: how long spares stay after the last human request.
+    :param spare_hold: how long spares are kept after the last human request.
     """
 
     term: timedelta = timedelta(seconds=6)
@@ -137,12 +139,12 @@
 
 @dataclass(eq=False, slots=True)
 class SlotWaiter:
-    """Request in a queue.
+    """Slot request that waits in a queue.
 
-    :param order: place in the order of arrival.
+    :param order: position in the order of arrival.
     :param queued: time since boot at which it arrived.
-    :param granted: gets the slot, or the refusal.
-    :param asked: upstreams whose owners were asked for it.
+    :param granted: resolves to the grant, or fails with the refusal.
+    :param asked: upstreams whose owners were asked for a slot.
     """
 
     order: int
--- a/quetzalcourse/state/usage.py
+++ b/quetzalcourse/state/usage.py
@@ -1,4 +1,4 @@
-"""Usage as daemons count it, keep it and report it."""
+"""Usage figures: counting, storage and reports by time window."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class UsageKey:
-    """What a figure is counted for.
+    """Key under which usage is counted.
 
-    :param upstream_kind: kind of the upstream, with ``-cheap`` behind it if
+    :param upstream_kind: kind of the upstream, with the suffix ``-cheap`` if
         it can be reclaimed.
     """
 
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageFigures:
-    """Cumulative figures; whole numbers, so that sums are exact.
+    """Cumulative usage figures, as integers so that sums are exact.
 
-    :param milliseconds: time that upstreams were busy.
+    :param milliseconds: busy time of upstreams.
     """
 
     prompt_tokens: int = 0
@@ -34,29 +34,29 @@
     milliseconds: int = 0
 
     def __add__(self, other: UsageFigures) -> UsageFigures:
-        """Add figures."""
+        """Add each figure."""
         return UsageFigures(
             *(
-                mine + others
-                for mine, others in zip(astuple(self), astuple(other))
+                left + right
+                for left, right in zip(astuple(self), astuple(other))
             )
         )
 
     def __sub__(self, other: UsageFigures) -> UsageFigures:
-        """Take figures away."""
+        """Subtract each figure."""
         return UsageFigures(
             *(
-                mine - others
-                for mine, others in zip(astuple(self), astuple(other))
+                left - right
+                for left, right in zip(astuple(self), astuple(other))
             )
         )
 
     def merge(self, other: UsageFigures) -> UsageFigures:
-        """Take the larger of each; both are readings of one counter."""
+        """Take the maximum of each figure of two readings of one counter."""
         return UsageFigures(
             *(
-                max(mine, others)
-                for mine, others in zip(astuple(self), astuple(other))
+                max(left, right)
+                for left, right in zip(astuple(self), astuple(other))
             )
         )
 
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageEntry:
-    """Figures of one key, as they are stored and sent."""
+    """Figures of one key, in the form that is stored and sent."""
 
     key: UsageKey
     figures: UsageFigures
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageRow:
-    """What one daemon counted in one window.
+    """Usage that one daemon counted in one window.
 
     :param window: name of the window.
-    :param incarnation: the daemon that counted.
+    :param incarnation: run of the daemon that counted.
     :param entries: cumulative figures, sorted by key.
     """
 
@@ -89,11 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReportContent:
-    """A report as it is frozen.
+    """Content of a frozen usage report.
 
-    :param entries: sums over all daemons of what came in time.
-    :param late: what came too late for the reports of earlier windows.
-    :param sources: incarnations whose rows were summed up.
+    :param entries: sums of the rows of all daemons that arrived in time.
+    :param late: rows that arrived too late for reports of earlier windows.
+    :param sources: incarnations whose rows were added.
     """
 
     window: str
@@ -104,10 +104,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageProgress:
-    """Windows that are dealt with.
+    """Progress of the usage reports.
 
     :param frozen: last window whose report is frozen.
-    :param sent: last window whose report was taken.
+    :param sent: last window whose report was accepted.
     """
 
     frozen: str
@@ -116,10 +116,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FrozenReport:
-    """A report on its way.
+    """A frozen report that is to be sent.
 
-    :param window: name of the window, which is the idempotency key too.
-    :param content: the frozen bytes.
+    :param window: name of the window, also the idempotency key.
+    :param token: fencing token of the sender's lease.
+    :param content: encoded report.
     """
 
     window: str
@@ -128,10 +129,10 @@
 
 
 def merge_entries(first: UsageByKey, second: UsageByKey) -> UsageByKey:
-    """Join two readings of one daemon's counters.
+    """Merge two readings of one daemon's counters.
 
-    Joining is idempotent and heeds no order, so that a row may be written
-    by the daemon and by its peers, however often.
+    The merge is idempotent and commutative, so that a row may be written by
+    the daemon and by its peers any number of times.
     """
     return {
         key: first.get(key, ZERO_FIGURES).merge(second.get(key, ZERO_FIGURES))
@@ -148,38 +149,40 @@
 
 
 def subtract_entries(whole: UsageByKey, part: UsageByKey) -> UsageByKey:
-    """Tell what a later reading has over an earlier one."""
-    rest = {
+    """Subtract an earlier reading from a later one, without zero figures."""
+    differences = {
         key: figures - part.get(key, ZERO_FIGURES)
         for key, figures in whole.items()
     }
     return {
-        key: figures for key, figures in rest.items() if figures != ZERO_FIGURES
+        key: figures
+        for key, figures in differences.items()
+        if figures != ZERO_FIGURES
     }
 
 
 def list_entries(entries: UsageByKey) -> tuple[UsageEntry, ...]:
-    """Sort figures, so that the same figures are the same bytes."""
+    """List figures by key, so that equal figures encode to equal bytes."""
     return tuple(UsageEntry(key, entries[key]) for key in sorted(entries))
 
 
 def index_entries(entries: tuple[UsageEntry, ...]) -> UsageByKey:
-    """Find figures by their key."""
+    """Index figures by their key."""
     return {entry.key: entry.figures for entry in entries}
 
 
 def name_window(time: datetime, length: timedelta) -> str:
-    """Name the window that a time falls into, by its start in UTC."""
-    since = time.timestamp() // length.total_seconds()
-    start = datetime.fromtimestamp(since * length.total_seconds(), UTC)
+    """Name the window that contains a time, by its start in UTC."""
+    number = time.timestamp() // length.total_seconds()
+    start = datetime.fromtimestamp(number * length.total_seconds(), UTC)
     return start.strftime(WINDOW_FORMAT)
 
 
 def find_window_start(window: str) -> datetime:
-    """Tell when a window starts."""
+    """Return the start of a window."""
     return datetime.strptime(window, WINDOW_FORMAT).replace(tzinfo=UTC)
 
 
 def name_next_window(window: str, length: timedelta) -> str:
-    """Name the window behind another."""
+    """Name the window after another one."""
     return name_window(find_window_start(window) + length, length)
--- a/quetzalcourse/state/waves.py
+++ b/quetzalcourse/state/waves.py
@@ -1,4 +1,4 @@
-"""Waves of engines that take a new weight version."""
+"""Rolling update of engines to a new weight version, in waves."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WavePlan:
-    """What waves have to keep.
+    """Limits of a rolling update.
 
-    :param serving_share: share of the slots that go on serving.
-    :param loads_per_second: loads that the weight store allows this data
-        centre to begin.
+    :param serving_share: share of the slots that must keep serving.
+    :param loads_per_second: rate of loads that the weight store allows this
+        data centre to start.
     :param swap_timeout: time after which a swap counts as failed.
     """
 
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """An engine as it last reported itself.
+    """Last reported state of an engine.
 
-    :param weight_version: version that its new tokens are made with.
+    :param weight_version: weight version that generates its new tokens.
     """
 
     name: str
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Swap:
-    """An engine that is told to load a version.
+    """Order to an engine to load a weight version.
 
-    :param attempt: counts the orders that this engine got for the version.
-    :param ordered: time since boot at which it was told.
+    :param attempt: number of orders to this engine for the version.
+    :param ordered: time since boot at which it was ordered.
     """
 
     engine: str
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WaveStatus:
-    """How far a version is on the engines of a model.
+    """Progress of a weight version on the engines of a model.
 
-    :param behind: engines that reported themselves without the version.
-    :param failed: orders that had to be given again.
+    :param behind: engines that have not reported the version.
+    :param failed: orders that had to be repeated.
     """
 
     version: int
