--- a/bench/suites/waves.py
+++ b/bench/suites/waves.py
@@ -8,7 +8,7 @@
 
 from bench.figure import SHOWN, Figure, at_least, at_most
 from quetzalcourse.coordination.weights.waves import Wave
-from quetzalcourse.state.waves import EngineView, WavePlan
+from quetzalcourse.state.waves import EngineView, WaveLimits
 
 FIGURES = (
     'version_spread_s',
@@ -69,11 +69,11 @@
 
 async def measure() -> list[Figure]:
     """Spread a version with waves, and one engine after another."""
-    plan = WavePlan(SHARE, LOADS_PER_SECOND, SWAP_TIMEOUT)
+    plan = WaveLimits(SHARE, LOADS_PER_SECOND, SWAP_TIMEOUT)
     waves = [spread_all(number, plan) for number in range(DATA_CENTRES)]
-    single = WavePlan(1.0, LOADS_PER_SECOND, SWAP_TIMEOUT)
+    single = WaveLimits(1.0, LOADS_PER_SECOND, SWAP_TIMEOUT)
     alone = [spread_all(number, single) for number in range(DATA_CENTRES)]
-    higher = WavePlan(HIGHER_SHARE, LOADS_PER_SECOND, SWAP_TIMEOUT)
+    higher = WaveLimits(HIGHER_SHARE, LOADS_PER_SECOND, SWAP_TIMEOUT)
     slower = [spread_all(number, higher) for number in range(DATA_CENTRES)]
     loads = sorted(at for wave in waves for at in wave.loads)
     return [
@@ -107,7 +107,7 @@
     ]
 
 
-def spread_all(number: int, plan: WavePlan) -> Spread:
+def spread_all(number: int, plan: WaveLimits) -> Spread:
     """Bring a version onto the engines of one data centre."""
     chance = random.Random(SEED + number)
     count = ENGINES // DATA_CENTRES + (number < ENGINES % DATA_CENTRES)
--- a/quetzalcourse/coordination/weights/wave_runner.py
+++ b/quetzalcourse/coordination/weights/wave_runner.py
@@ -25,7 +25,7 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.engines import EngineReport
     from quetzalcourse.state.manifest import Upstream
-    from quetzalcourse.state.waves import Swap, WavePlan
+    from quetzalcourse.state.waves import Swap, WaveLimits
 
 INTERVAL = timedelta(milliseconds=500)
 log = get_log('waves')
@@ -50,7 +50,7 @@
         find_report: Callable[[str], EngineReport | None],
         clock: Clock,
         counters: Counters,
-        plan: WavePlan,
+        plan: WaveLimits,
     ) -> None:
         """Begin without a manifest."""
         self._data_centre = data_centre
--- a/quetzalcourse/coordination/weights/waves.py
+++ b/quetzalcourse/coordination/weights/waves.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzalcourse.state.waves import EngineView, Swap, WavePlan
+from quetzalcourse.state.waves import EngineView, Swap, WaveLimits
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -21,7 +21,7 @@
     :param plan: what has to be kept.
     """
 
-    def __init__(self, version: int, plan: WavePlan) -> None:
+    def __init__(self, version: int, plan: WaveLimits) -> None:
         """Begin with no engine told."""
         self.version = version
         self.failed = 0
--- a/quetzalcourse/state/waves.py
+++ b/quetzalcourse/state/waves.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WavePlan:
+class WaveLimits:
     """Limits of a rolling update.
 
     :param serving_share: share of the slots that must keep serving.
--- a/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
+++ b/quetzalcourse/tests/coordination/weights/wave_runner_tests.py
@@ -19,12 +19,12 @@
 )
 from quetzalcourse.state.lease import LeaseTimings
 from quetzalcourse.state.manifest import Manifest, Upstream, UpstreamKind
-from quetzalcourse.state.waves import WavePlan
+from quetzalcourse.state.waves import WaveLimits
 from quetzalcourse.tests.step_world import MODEL, FakePlatform
 
 HALL = 'hall'
 TERMS = LeaseTimings(timedelta(seconds=10), timedelta(seconds=2))
-PLAN = WavePlan(0.5, 10.0, timedelta(seconds=5))
+PLAN = WaveLimits(0.5, 10.0, timedelta(seconds=5))
 
 
 class FakeEngines:
--- a/quetzalcourse/tests/coordination/weights/waves_tests.py
+++ b/quetzalcourse/tests/coordination/weights/waves_tests.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from quetzalcourse.coordination.weights.waves import Wave
-from quetzalcourse.state.waves import EngineView, WavePlan
+from quetzalcourse.state.waves import EngineView, WaveLimits
 
 SECOND = timedelta(seconds=1)
-PLAN = WavePlan(0.75, 2.0, timedelta(seconds=10))
+PLAN = WaveLimits(0.75, 2.0, timedelta(seconds=10))
 
 
 def build_engines(count: int) -> list[EngineView]:
@@ -73,7 +73,7 @@
 ) -> None:
     # Engines take from no time to longer than the timeout to load. Whatever
     # they do, the slots asked for go on serving and every engine arrives.
-    plan = WavePlan(share, rate, timedelta(seconds=10))
+    plan = WaveLimits(share, rate, timedelta(seconds=10))
     wave = Wave(2, plan)
     versions = dict.fromkeys(range(len(slots)), 1)
     done: dict[int, int] = {}
--- a/quetzalcourse/weight_parts.py
+++ b/quetzalcourse/weight_parts.py
@@ -12,7 +12,7 @@
 from quetzalcourse.coordination.steps.staleness import NewestVersions
 from quetzalcourse.coordination.weights.wave_runner import WaveRunner
 from quetzalcourse.state.lease import LeaseTimings
-from quetzalcourse.state.waves import WavePlan
+from quetzalcourse.state.waves import WaveLimits
 from quetzalcourse.transport.engine_control import EngineControlClient
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         find_report,
         clock,
         counters,
-        WavePlan(
+        WaveLimits(
             wishes.serving_share,
             wishes.loads_per_second,
             timedelta(seconds=wishes.swap_seconds),
