--- a/quetzalcourse/coordination/forwarding/pool.py
+++ b/quetzalcourse/coordination/forwarding/pool.py
@@ -79,31 +79,31 @@
 
     def replace(self, member: PoolMember) -> None:
         """Apply a new or changed registration."""
-        known = self._upstreams.get(member.name)
-        if known is None or _is_other_run(known.member, member):
+        upstream = self._upstreams.get(member.name)
+        if upstream is None or _is_other_run(upstream.member, member):
             self._discard(member.name)
-            known = Upstream(member)
-            self._index(known)
+            upstream = Upstream(member)
+            self._index(upstream)
             self._log(member, 'Upstream registered.')
-            self._mark_cold(known, member.cold_for)
+            self._mark_cold(upstream, member.cold_for)
             for listener in self.registration_listeners:
-                listener(known)
+                listener(upstream)
             return
-        if known.member.service != member.service:
+        if upstream.member.service != member.service:
             self._discard(member.name)
-            known.member = member
-            self._index(known)
-        if known.member.leaving != member.leaving:
+            upstream.member = member
+            self._index(upstream)
+        if upstream.member.leaving != member.leaving:
             self._log(member, 'Upstream draining state changed.')
-        known.member = member
-        self._update_location(known)
-        self._mark_cold(known, member.cold_for)
+        upstream.member = member
+        self._update_location(upstream)
+        self._mark_cold(upstream, member.cold_for)
 
     def remove(self, name: str) -> None:
         """Remove an upstream whose registration is gone."""
-        known = self._discard(name)
-        if known is not None:
-            self._log(known.member, 'Upstream is gone.')
+        upstream = self._discard(name)
+        if upstream is not None:
+            self._log(upstream.member, 'Upstream is gone.')
 
     def find(self, name: str) -> Upstream | None:
         """Find an upstream by its id."""
@@ -335,10 +335,10 @@
         self._services.setdefault(member.service, {})[member.name] = upstream
 
     def _discard(self, name: str) -> Upstream | None:
-        known = self._upstreams.pop(name, None)
-        if known is not None:
-            self._services[known.member.service].pop(name)
-        return known
+        upstream = self._upstreams.pop(name, None)
+        if upstream is not None:
+            self._services[upstream.member.service].pop(name)
+        return upstream
 
     def _log(self, member: PoolMember, event: str) -> None:
         log.info(
@@ -349,9 +349,9 @@
         )
 
 
-def _is_other_run(known: PoolMember, member: PoolMember) -> bool:
+def _is_other_run(current: PoolMember, member: PoolMember) -> bool:
     """Return whether a registration is of another run of the upstream."""
-    previous = (known.address, known.started)
+    previous = (current.address, current.started)
     return previous != (member.address, member.started)
 
 
--- a/quetzalcourse/coordination/routing/engine_poller.py
+++ b/quetzalcourse/coordination/routing/engine_poller.py
@@ -94,16 +94,16 @@
         :param include_remote: whether to poll engines of other data centres
             too.
         """
-        wanted = [
+        polled = [
             upstream
             for upstream in self._manifest.upstreams.values()
             if upstream.kind is UpstreamKind.engine
             and (include_remote or upstream.data_centre == self._data_centre)
         ]
-        await asyncio.gather(*(self._observe(one) for one in wanted))
+        await asyncio.gather(*(self._poll(upstream) for upstream in polled))
         self._check()
 
-    async def _observe(self, upstream: Upstream) -> None:
+    async def _poll(self, upstream: Upstream) -> None:
         name = upstream.name
         answer = await self._control.observe(upstream)
         if isinstance(answer, Err):
--- a/quetzalcourse/coordination/routing/reports.py
+++ b/quetzalcourse/coordination/routing/reports.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnLoadReport:
+class ReportSnapshot:
     """A report and this daemon's requests when it arrived.
 
     :param own: this daemon's requests on the engine at that time.
@@ -25,14 +25,14 @@
     """The last report of each engine."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, OwnLoadReport] = {}
+        self._reports: dict[str, ReportSnapshot] = {}
 
     def on_report(self, name: str, report: EngineReport, own: int) -> None:
         """Store a report.
 
         :param own: this daemon's requests on the engine at this time.
         """
-        self._reports[name] = OwnLoadReport(report, own)
+        self._reports[name] = ReportSnapshot(report, own)
 
     def discard(self, name: str) -> None:
         """Discard the report of an engine after too many missed ones."""
--- a/quetzalcourse/tests/coordination/forwarding/forwarding_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/forwarding_tests.py
@@ -42,41 +42,41 @@
         MAX_ATTEMPTS,
     )
     deadline = clock.elapsed() + timedelta(seconds=1)
-    forwarding = ForwardedRequest('r-1', route, 's', 'desk', deadline)
-    return Forwarder(pool, quarantine, clock), forwarding
+    request = ForwardedRequest('r-1', route, 's', 'desk', deadline)
+    return Forwarder(pool, quarantine, clock), request
 
 
 def test_refused_connections_do_not_count_as_attempts() -> None:
     """Guards against a refusal while a healthy upstream is left."""
-    forwarder, forwarding = build()
+    forwarder, request = build()
     tried = set()
     for _ in range(UPSTREAMS):
-        upstream = forwarder.choose(forwarding)
+        upstream = forwarder.choose(request)
         tried.add(upstream.name)
-        forwarder.on_not_sent(forwarding, upstream)
-        assert forwarder.may_repeat(forwarding, not_run=True)
+        forwarder.on_not_sent(request, upstream)
+        assert forwarder.may_repeat(request, not_run=True)
     assert len(tried) == UPSTREAMS
     with pytest.raises(RefusedError):
-        forwarder.choose(forwarding)
+        forwarder.choose(request)
 
 
 def test_attempts_that_may_have_run_are_limited() -> None:
     """Guards against a request that runs on more upstreams than allowed."""
-    forwarder, forwarding = build()
+    forwarder, request = build()
     for left in range(MAX_ATTEMPTS - 1, -1, -1):
-        forwarder.choose(forwarding)
-        may_repeat = forwarder.may_repeat(forwarding, not_run=False)
+        forwarder.choose(request)
+        may_repeat = forwarder.may_repeat(request, not_run=False)
         assert may_repeat is bool(left)
 
 
 def test_request_is_refused_when_all_upstreams_are_unreachable() -> None:
     """Guards against a request that tries dead upstreams until its deadline."""
-    forwarder, forwarding = build()
-    forwarder.choose(forwarding)
-    forwarding.may_have_run = True
+    forwarder, request = build()
+    forwarder.choose(request)
+    request.may_have_run = True
     for _ in range(UPSTREAMS):
-        upstream = forwarder.choose(forwarding)
-        forwarder.on_not_sent(forwarding, upstream)
-    assert forwarding.unreachable == {f'u-{one}' for one in range(UPSTREAMS)}
+        upstream = forwarder.choose(request)
+        forwarder.on_not_sent(request, upstream)
+    assert request.unreachable == {f'u-{one}' for one in range(UPSTREAMS)}
     with pytest.raises(RefusedError):
-        forwarder.choose(forwarding)
+        forwarder.choose(request)
--- a/quetzalcourse/tests/coordination/quarantine/quarantine_decisions_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/quarantine_decisions_tests.py
@@ -102,7 +102,7 @@
     for quarantine in daemons:
         state = quarantine.records.find_state('f')
         assert state is RequestState.quarantined
-    assert all(one.may_begin('popular') for one in daemons)
+    assert all(daemon.may_begin('popular') for daemon in daemons)
 
 
 def run_cascade(*, isolated: bool) -> int:
--- a/quetzalcourse/tests/coordination/quarantine/quarantine_store_tests.py
+++ b/quetzalcourse/tests/coordination/quarantine/quarantine_store_tests.py
@@ -163,7 +163,7 @@
     await world.pass_time()
     world.feed.remove(KEY)
     await world.pass_time(10 * PROPAGATION)
-    assert {one.find_state() for one in daemons} == {RequestState.sound}
+    assert {daemon.find_state() for daemon in daemons} == {RequestState.sound}
     assert not world.has_row
 
 
@@ -188,10 +188,14 @@
     daemons[0].crash_upstreams()
     await world.pass_time(BASE_QUARANTINE_TIME + PROPAGATION)
     assert daemons[2].find_state() is RequestState.due
-    claims = await asyncio.gather(*(one.rows.claim('f') for one in daemons))
+    claims = await asyncio.gather(
+        *(daemon.rows.claim('f') for daemon in daemons)
+    )
     assert sorted(claims) == [False, False, True]
     await world.pass_time()
-    assert {one.find_state() for one in daemons} == {RequestState.quarantined}
+    assert {daemon.find_state() for daemon in daemons} == {
+        RequestState.quarantined
+    }
 
 
 async def test_item_gets_its_trial_from_background_claim(world: World) -> None:
@@ -240,7 +244,9 @@
     await world.pass_time(10 * PROPAGATION)
     assert world.has_row
     assert world.feed.writes == 1
-    assert {one.find_state() for one in daemons} == {RequestState.quarantined}
+    assert {daemon.find_state() for daemon in daemons} == {
+        RequestState.quarantined
+    }
 
 
 async def test_missing_row_is_written_if_observing_daemon_died(
