--- a/quetzalcourse/tests/coordination/weights/waves_tests.py
+++ b/quetzalcourse/tests/coordination/weights/waves_tests.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from quetzalcourse.coordination.weights.waves import Wave
-from quetzalcourse.state.waves import EngineView, WavePlan
+from quetzalcourse.state.waves import EngineView, WaveLimits
 
 SECOND = timedelta(seconds=1)
-PLAN = WavePlan(0.75, 2.0, timedelta(seconds=10))
+PLAN = WaveLimits(0.75, 2.0, timedelta(seconds=10))
 
 
 def build_engines(count: int) -> list[EngineView]:
@@ -75,7 +75,7 @@
 ) -> None:
     # Engines load at once or take longer than the timeout. In every case the
     # required share of slots must keep serving and all engines must load.
-    plan = WavePlan(share, rate, timedelta(seconds=10))
+    plan = WaveLimits(share, rate, timedelta(seconds=10))
     wave = Wave(2, plan)
     versions = dict.fromkeys(range(len(slots)), 1)
     done: dict[int, int] = {}
