--- a/quetzalcourse/coordination/requests/attempt.py
+++ b/quetzalcourse/coordination/requests/attempt.py
@@ -5,7 +5,7 @@
 from quetzalcourse.exceptions import QuetzalcourseError
 from quetzalcourse.state.generation import NEVER_RAN, AttemptState
 
-_FOLLOWERS = {
+_TRANSITIONS = {
     AttemptState.not_sent: frozenset((AttemptState.maybe_sent,)),
     AttemptState.maybe_sent: frozenset(
         (
@@ -64,5 +64,5 @@
 
         :param state: what has become known.
         """
-        if state in _FOLLOWERS[self.state]:
+        if state in _TRANSITIONS[self.state]:
             self.state = state
--- a/quetzalcourse/coordination/requests/attempt_cleanup.py
+++ b/quetzalcourse/coordination/requests/attempt_cleanup.py
@@ -30,18 +30,18 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def close(
-        self, grant: Grant, work: RequestProgress, state: AttemptState
+        self, grant: Grant, progress: RequestProgress, state: AttemptState
     ) -> None:
         """Close an attempt without waiting for the engine.
 
         :param state: what is known of the attempt.
         """
-        generated = work.count_fresh()
+        generated = progress.count_new_tokens()
         if state in NEVER_RAN or state is AttemptState.complete:
             self._admission.release(grant, generated)
             return
-        closing = self._cancel(grant, work.attempt_id, generated)
-        task = asyncio.get_running_loop().create_task(closing)
+        cancellation = self._cancel(grant, progress.attempt_id, generated)
+        task = asyncio.get_running_loop().create_task(cancellation)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/quetzalcourse/coordination/requests/chunk_assembler.py
+++ b/quetzalcourse/coordination/requests/chunk_assembler.py
@@ -11,7 +11,7 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.generation import Chunk, GenerationRequest
 
-MAX_DROPPED = 8
+MAX_CONSECUTIVE_DROPS = 8
 
 
 class ChunkError(QuetzalcourseError):
@@ -30,8 +30,8 @@
         self._request = request
         self._counters = counters
         self._attempt_id = request.request_id
-        self._held: Chunk | None = None
-        self._dropped = 0
+        self._last_chunk: Chunk | None = None
+        self._consecutive_drops = 0
 
     def begin(self, attempt_id: str) -> None:
         """Expect the chunks of a new attempt.
@@ -39,8 +39,8 @@
         :param attempt_id: id that the chunks of this attempt carry.
         """
         self._attempt_id = attempt_id
-        self._held = None
-        self._dropped = 0
+        self._last_chunk = None
+        self._consecutive_drops = 0
 
     def accept(self, chunk: Chunk) -> Chunk | None:
         """Take a chunk as far as it is new.
@@ -51,7 +51,7 @@
         :returns: what the caller may see now, if anything.
         :raises ChunkError: if this stream can't go on to a whole answer.
         """
-        if chunk.request_id != self._attempt_id or self._held is not None:
+        if chunk.request_id != self._attempt_id or self._last_chunk is not None:
             self._drop('crossed')
             return None
         expected = len(self.tokens)
@@ -63,35 +63,35 @@
             self._drop('late')
             return None
         self._check_version(chunk)
-        return self._take(chunk, expected)
+        return self._append(chunk, expected)
 
     def finish(self) -> Chunk | None:
         """Give the last chunk, once the end marker was seen.
 
         :returns: ``None`` if the stream ended without a last chunk.
         """
-        last = self._held
-        self._held = None
+        last = self._last_chunk
+        self._last_chunk = None
         if last is not None:
             self.tokens.extend(last.tokens)
         return last
 
-    def _take(self, chunk: Chunk, expected: int) -> Chunk | None:
-        fresh = chunk
-        named = chunk.request_id == self._request.request_id
-        if chunk.offset != expected or not named:
-            fresh = replace(
+    def _append(self, chunk: Chunk, expected: int) -> Chunk | None:
+        new_chunk = chunk
+        id_matches = chunk.request_id == self._request.request_id
+        if chunk.offset != expected or not id_matches:
+            new_chunk = replace(
                 chunk,
                 request_id=self._request.request_id,
                 offset=expected,
                 tokens=chunk.tokens[expected - chunk.offset :],
             )
-        self._dropped = 0
-        if fresh.finish_reason:
-            self._held = fresh
+        self._consecutive_drops = 0
+        if new_chunk.finish_reason:
+            self._last_chunk = new_chunk
             return None
-        self.tokens.extend(fresh.tokens)
-        return fresh
+        self.tokens.extend(new_chunk.tokens)
+        return new_chunk
 
     def _check_version(self, chunk: Chunk) -> None:
         # Weights may be swapped in mid-stream. Tokens of another version
@@ -99,16 +99,16 @@
         version = chunk.weight_version
         if not version:
             return
-        wanted = self._request.weight_version
+        requested_version = self._request.weight_version
         if version < self._request.oldest_version:
             raise ChunkError('the weight version is too old')
-        if wanted not in {None, version}:
+        if requested_version not in {None, version}:
             raise ChunkError('the weight version is not the one asked for')
 
     def _drop(self, reason: str) -> None:
         self._count(reason)
-        self._dropped += 1
-        if self._dropped >= MAX_DROPPED:
+        self._consecutive_drops += 1
+        if self._consecutive_drops >= MAX_CONSECUTIVE_DROPS:
             raise ChunkError('the stream carries other chunks only')
 
     def _count(self, reason: str) -> None:
--- a/quetzalcourse/coordination/requests/duration_estimator.py
+++ b/quetzalcourse/coordination/requests/duration_estimator.py
@@ -31,25 +31,25 @@
 
     def __init__(self) -> None:
         """Begin without knowledge."""
-        self._paces: dict[str, ModelPace] = {}
+        self._paces_by_model: dict[str, ModelPace] = {}
 
-    def learn(
+    def record(
         self,
         request: GenerationRequest,
         generated: int,
-        took: timedelta,
+        duration: timedelta,
     ) -> None:
         """Learn from an answer that one attempt made as a whole.
 
         :param generated: tokens of the answer.
-        :param took: time from sending the request to its end.
+        :param duration: time from sending the request to its end.
         """
         if not generated:
             return
-        pace = self._paces.setdefault(request.model, ModelPace())
+        pace = self._paces_by_model.setdefault(request.model, ModelPace())
         pace.samples += 1
         weight = max(SMOOTHING, 1 / pace.samples)
-        seconds = took.total_seconds() / generated
+        seconds = duration.total_seconds() / generated
         share = generated / request.max_tokens
         pace.token_seconds += weight * (seconds - pace.token_seconds)
         pace.used_share += weight * (share - pace.used_share)
@@ -60,7 +60,7 @@
         :param received: tokens that are there already.
         :returns: zero as long as too few answers were seen.
         """
-        pace = self._paces.get(request.model)
+        pace = self._paces_by_model.get(request.model)
         if pace is None or pace.samples < MIN_SAMPLES:
             return timedelta(0)
         left = max(request.max_tokens * pace.used_share - received, 0)
--- a/quetzalcourse/coordination/requests/generation_runner.py
+++ b/quetzalcourse/coordination/requests/generation_runner.py
@@ -75,8 +75,8 @@
         self._engines = engines
         self._clock = clock
         self._counters = counters
-        self._durations = DurationEstimator()
-        self._closings = AttemptCleanup(admission, engines)
+        self._duration_estimator = DurationEstimator()
+        self._attempt_cleanup = AttemptCleanup(admission, engines)
         self.running_attempts = RunningAttempts(clock)
         self.usage: UsageCounter | None = None
 
@@ -91,84 +91,90 @@
         :param request: what to run.
         :raises RefusedError: when no engine finishes the request.
         """
-        work = RequestProgress(request, ChunkAssembler(request, self._counters))
+        progress = RequestProgress(
+            request, ChunkAssembler(request, self._counters)
+        )
         self._budget.earn(request.client_account)
         while True:
-            grant = await self._acquire(work)
-            attempt = self._attempt(grant, work)
+            grant = await self._acquire(progress)
+            attempt = self._attempt(grant, progress)
             try:
                 async with aclosing(attempt):  # type: ignore[type-var]
                     async for chunk in attempt:
                         yield chunk
             except AttemptError as error:
-                self._on_failed(work, error)
+                self._on_failed(progress, error)
             except AttemptInterruptedError as interruption:
-                self._on_interrupted(work, interruption)
+                self._on_interrupted(progress, interruption)
             else:
                 return
 
     async def stop(self) -> None:
         """Wait until the last cancellations have been sent."""
-        await self._closings.stop()
+        await self._attempt_cleanup.stop()
 
-    async def _acquire(self, work: RequestProgress) -> Grant:
-        request = work.request
+    async def _acquire(self, progress: RequestProgress) -> Grant:
+        request = progress.request
         while True:
-            candidates = self._rank(work)
-            slot = SlotRequest(
+            candidates = self._rank(progress)
+            slot_request = SlotRequest(
                 request.client_account,
                 request.traffic_class,
                 candidates,
                 request.deadline,
-                resumed=work.attempts > 0,
+                resumed=progress.attempts > 0,
             )
             try:
-                grant = await self._admission.acquire(slot)
+                grant = await self._admission.acquire(slot_request)
             except RefusedError as error:
-                raise work.adjust_not_run(error) from error
+                raise progress.adjust_not_run(error) from error
             # The engine may have failed while this request waited for it.
             name = grant.upstream.name
             if self._health.admits(name) and self._router.is_open(name):
-                self._check_time(grant, work)
+                self._check_remaining_time(grant, progress)
                 return grant
             self._admission.release(grant)
 
-    def _check_time(self, grant: Grant, work: RequestProgress) -> None:
+    def _check_remaining_time(
+        self, grant: Grant, progress: RequestProgress
+    ) -> None:
         # Under overload every request is granted its slot just before its
         # deadline. Sent nonetheless, all would be cut at the deadline, and
         # the engines would be busy without one whole answer.
-        received = len(work.assembly.tokens)
-        needed = self._durations.estimate(work.request, received)
-        if work.request.deadline - self._clock.elapsed() < needed:
+        received = len(progress.assembler.tokens)
+        needed = self._duration_estimator.estimate(progress.request, received)
+        if progress.request.deadline - self._clock.elapsed() < needed:
             self._admission.release(grant)
             self._counters.add('requests_too_late')
-            raise work.refuse_too_late(needed)
+            raise progress.refuse_deadline_too_near(needed)
 
-    def _rank(self, work: RequestProgress) -> tuple[str, ...]:
+    def _rank(self, progress: RequestProgress) -> tuple[str, ...]:
         ranked = self._router.rank_engines(
-            work.request, self._admission.running
+            progress.request, self._admission.running
         )
         if not ranked:
-            raise work.refuse_route()
+            raise progress.refuse_unknown_model()
         admitted = [name for name in ranked if self._health.admits(name)]
         if not admitted:
-            raise work.refuse_failed(self._health.measure_wait(ranked))
-        fresh = [name for name in admitted if name not in work.failed]
-        return tuple(fresh or admitted)
+            raise progress.refuse_upstreams_failed(
+                self._health.measure_wait(ranked)
+            )
+        untried = [name for name in admitted if name not in progress.failed]
+        return tuple(untried or admitted)
 
     async def _attempt(
         self,
         grant: Grant,
-        work: RequestProgress,
+        progress: RequestProgress,
     ) -> AsyncIterator[Chunk]:
         name = grant.upstream.name
-        work.begin()
+        progress.begin()
         self._health.on_start(name)
-        self._router.on_sent(name, work.request)
-        watch = self.running_attempts.on_begin(grant, work.request)
+        self._router.on_sent(name, progress.request)
+        running = self.running_attempts.on_begin(grant, progress.request)
         state = AttemptState.maybe_sent
-        began = self._clock.elapsed()
-        stream = self._stream(grant, work, watch.guard)
+        started_at = self._clock.elapsed()
+        stream = self._stream(grant, progress, running.scope)
         try:
             async with aclosing(stream):  # type: ignore[type-var]
                 async for chunk in stream:
@@ -178,76 +184,78 @@
             state = error.state
             raise
         finally:
-            self.running_attempts.on_end(watch)
-            self._on_end(grant, work, state, began)
+            self.running_attempts.on_end(running)
+            self._on_end(grant, progress, state, started_at)
 
     def _on_end(
         self,
         grant: Grant,
-        work: RequestProgress,
+        progress: RequestProgress,
         state: AttemptState,
-        began: timedelta,
+        started_at: timedelta,
     ) -> None:
         self._health.on_end(grant.upstream.name)
-        self._count(grant, work, state, began)
-        self._closings.close(grant, work, state)
+        self._record_usage(grant, progress, state, started_at)
+        self._attempt_cleanup.close(grant, progress, state)
 
     async def _stream(
         self,
         grant: Grant,
-        work: RequestProgress,
-        guard: InterruptScope,
+        progress: RequestProgress,
+        scope: InterruptScope,
     ) -> AsyncIterator[Chunk]:
-        sent = replace(work.request, request_id=work.attempt_id)
-        tokens = tuple(work.assembly.tokens)
+        sent = replace(progress.request, request_id=progress.attempt_id)
+        tokens = tuple(progress.assembler.tokens)
         chunks = self._engines.generate(grant.upstream, sent, tokens)
-        began = self._clock.elapsed()
+        started_at = self._clock.elapsed()
         name = grant.upstream.name
-        answered = False
+        first_token_seen = False
         async with aclosing(chunks) as stream:  # type: ignore[type-var]
             while True:
-                guard.check()
+                scope.check()
                 try:
-                    chunk = await guard.wait(anext(stream))
-                    fresh = work.assembly.accept(chunk)
+                    chunk = await scope.wait(anext(stream))
+                    new_chunk = progress.assembler.accept(chunk)
                 except StopAsyncIteration:
                     break
                 except ChunkError as error:
-                    raise _break_attempt(name) from error
-                if fresh is None:
+                    raise _build_broken_error(name) from error
+                if new_chunk is None:
                     continue
-                if not answered:
-                    answered = True
-                    waited = self._clock.elapsed() - began
+                if not first_token_seen:
+                    first_token_seen = True
+                    waited = self._clock.elapsed() - started_at
                     self._health.on_first_token(name, waited)
-                yield _name_upstream(fresh, name)
-        last = work.assembly.finish()
+                yield _set_upstream(new_chunk, name)
+        last = progress.assembler.finish()
         if last is None:
-            raise _break_attempt(name)
+            raise _build_broken_error(name)
         self._health.on_success(name)
-        if len(tokens) == len(work.request.received):
-            took = self._clock.elapsed() - began
-            self._durations.learn(work.request, work.count_fresh(), took)
-        work.prompt_tokens = last.prompt_tokens
-        yield _name_upstream(last, name)
+        if len(tokens) == len(progress.request.received):
+            duration = self._clock.elapsed() - started_at
+            self._duration_estimator.record(
+                progress.request, progress.count_new_tokens(), duration
+            )
+        progress.prompt_tokens = last.prompt_tokens
+        yield _set_upstream(last, name)
 
-    def _count(
+    def _record_usage(
         self,
         grant: Grant,
-        work: RequestProgress,
+        progress: RequestProgress,
         state: AttemptState,
-        began: timedelta,
+        started_at: timedelta,
     ) -> None:
         if self.usage is None or state in NEVER_RAN:
             return
         complete = state is AttemptState.complete
         figures = UsageFigures(
-            prompt_tokens=work.prompt_tokens,
-            generated_tokens=work.count_fresh(),
+            prompt_tokens=progress.prompt_tokens,
+            generated_tokens=progress.count_new_tokens(),
             requests=int(complete),
-            milliseconds=(self._clock.elapsed() - began) // MILLISECOND,
+            milliseconds=(self._clock.elapsed() - started_at) // MILLISECOND,
         )
-        request = work.request
+        request = progress.request
         self.usage.record(
             grant.upstream,
             request.client_account,
@@ -255,38 +263,40 @@
             figures,
         )
 
-    def _on_failed(self, work: RequestProgress, error: AttemptError) -> None:
+    def _on_failed(
+        self, progress: RequestProgress, error: AttemptError
+    ) -> None:
         self._counters.add('attempts_failed', state=error.state.value)
-        progressed = work.on_failed(error)
+        progressed = progress.on_failed(error)
         if error.state is not AttemptState.refused:
             connected = error.state is not AttemptState.not_sent
             self._health.on_failure(error.peer, connected=connected)
         if progressed:
             return
-        account = work.request.client_account
-        if work.is_hopeless or not self._budget.spend(account):
-            raise work.refuse_failed(
+        account = progress.request.client_account
+        if progress.is_exhausted or not self._budget.spend(account):
+            raise progress.refuse_upstreams_failed(
                 self._health.measure_wait((error.peer,))
             ) from error
         self._counters.add('retries')
 
     def _on_interrupted(
         self,
-        work: RequestProgress,
+        progress: RequestProgress,
         interruption: AttemptInterruptedError,
     ) -> None:
         kind = interruption.kind
         self._counters.add('attempts_interrupted', reason=kind.value)
-        work.on_interrupted()
+        progress.on_interrupted()
         if kind is Interruption.late:
-            raise work.refuse_late()
+            raise progress.refuse_deadline_passed()
 
 
-def _break_attempt(peer: str) -> AttemptError:
+def _build_broken_error(peer: str) -> AttemptError:
     return AttemptError(AttemptState.broken, 'generate', peer)
 
 
-def _name_upstream(chunk: Chunk, name: str) -> Chunk:
+def _set_upstream(chunk: Chunk, name: str) -> Chunk:
     if chunk.upstream == name:
         return chunk
     return replace(chunk, upstream=name)
--- a/quetzalcourse/coordination/requests/idempotency.py
+++ b/quetzalcourse/coordination/requests/idempotency.py
@@ -28,8 +28,8 @@
     from quetzalcourse.coordination.ports import Table
     from quetzalcourse.state.rows import Commit, StoreFault
 
-MAX_TRIES = 3
-ASK_AGAIN = timedelta(seconds=5)
+MAX_CLAIM_ATTEMPTS = 3
+RETRY_AFTER = timedelta(seconds=5)
 
 
 class ClaimState(enum.StrEnum):
@@ -68,7 +68,7 @@
     digest: str
 
     @property
-    def row(self) -> str:
+    def row_key(self) -> str:
         """Key of the claim's row; an account can't meet another's keys."""
         named = f'{self.client_account}\n{self.key}'.encode()
         return f'idempotency/{hashlib.sha256(named).hexdigest()}'
@@ -103,7 +103,7 @@
             found out whether the claim took effect.
         """
         version = ABSENT
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             answer = await self._write(call, version, ClaimState.claimed)
             if isinstance(answer, Ok) and answer.ok_value.applied:
                 return Claim(call, version + 1)
@@ -111,10 +111,10 @@
             if found is None:
                 version = ABSENT
                 continue
-            if _judge(call, found):
+            if _is_own_claim(call, found):
                 return Claim(call, found.version)
             version = found.version
-        raise RefusedError(_refuse_store())
+        raise RefusedError(_refuse_store_unavailable())
 
     async def on_answered(self, claim: Claim, status: int) -> bool:
         """Note the status that a call was answered with.
@@ -150,8 +150,8 @@
         content = ClaimContent(call.request_id, call.digest, state, status)
         return await self._table.transact(
             Transaction(
-                (Condition(call.row, version),),
-                (Write(call.row, msgspec.json.encode(content)),),
+                (Condition(call.row_key, version),),
+                (Write(call.row_key, msgspec.json.encode(content)),),
             )
         )
 
@@ -167,9 +167,9 @@
         # call without knowing could let a second daemon send it as well.
         if answer.err_value.kind is FaultKind.not_applied:
             return None
-        found = await self._table.read(call.row)
+        found = await self._table.read(call.row_key)
         if isinstance(found, Err):
-            raise RefusedError(_refuse_store())
+            raise RefusedError(_refuse_store_unavailable())
         return found.ok_value
 
 
@@ -182,7 +182,7 @@
     return hashlib.sha256(head + body).hexdigest()
 
 
-def _judge(call: KeyedCall, row: Row) -> bool:
+def _is_own_claim(call: KeyedCall, row: Row) -> bool:
     """Tell whether the claim is the call's own; else it can be replaced.
 
     :raises RefusedError: if the key was used by another call.
@@ -193,23 +193,23 @@
     if found.holder == call.request_id:
         return True
     if found.digest != call.digest:
-        raise RefusedError(_refuse_reused())
+        raise RefusedError(_refuse_key_reused())
     if found.state is ClaimState.answered:
-        raise RefusedError(_refuse_ran(found.status))
-    raise RefusedError(_refuse_unknown())
+        raise RefusedError(_refuse_already_ran(found.status))
+    raise RefusedError(_refuse_outcome_unknown())
 
 
-def _refuse_store() -> Refusal:
+def _refuse_store_unavailable() -> Refusal:
     return Refusal(
         RefusalCode.store_unavailable,
         'The idempotency key could not be claimed; nothing was sent.',
         not_run=True,
-        retry_after=ASK_AGAIN,
+        retry_after=RETRY_AFTER,
         step='claim key',
     )
 
 
-def _refuse_reused() -> Refusal:
+def _refuse_key_reused() -> Refusal:
     return Refusal(
         RefusalCode.conflict,
         'The idempotency key was used for another request.',
@@ -218,7 +218,7 @@
     )
 
 
-def _refuse_ran(status: int) -> Refusal:
+def _refuse_already_ran(status: int) -> Refusal:
     return Refusal(
         RefusalCode.already_ran,
         f'A request with this key ran and was answered with status {status}.',
@@ -227,11 +227,11 @@
     )
 
 
-def _refuse_unknown() -> Refusal:
+def _refuse_outcome_unknown() -> Refusal:
     return Refusal(
         RefusalCode.outcome_unknown,
         'A request with this key was sent; its outcome is not known yet.',
         not_run=False,
-        retry_after=ASK_AGAIN,
+        retry_after=RETRY_AFTER,
         step='claim key',
     )
--- a/quetzalcourse/coordination/requests/interrupt_scope.py
+++ b/quetzalcourse/coordination/requests/interrupt_scope.py
@@ -51,7 +51,7 @@
         """Begin without an interruption."""
         self.traffic_class = traffic_class
         self.kind: Interruption | None = None
-        self._waiting: asyncio.Task[object] | None = None
+        self._waiting_task: asyncio.Task[object] | None = None
         self._cancelled = False
 
     def interrupt(self, kind: Interruption) -> None:
@@ -62,9 +62,9 @@
         if self.kind is not None:
             return
         self.kind = kind
-        if self._waiting is not None:
+        if self._waiting_task is not None:
             self._cancelled = True
-            self._waiting.cancel()
+            self._waiting_task.cancel()
 
     async def wait(self, awaitable: Awaitable[Outcome]) -> Outcome:
         """Wait for something unless interrupted.
@@ -73,16 +73,16 @@
         """
         task = asyncio.current_task()
         assert task is not None  # noqa: S101
-        before = task.cancelling()
-        self._waiting = task
+        requests_before = task.cancelling()
+        self._waiting_task = task
         try:
             return await awaitable
         except BaseException as error:
-            self._waiting = None
-            self._settle(task, before, error)
+            self._waiting_task = None
+            self._translate_cancellation(task, requests_before, error)
             raise
         finally:
-            self._waiting = None
+            self._waiting_task = None
 
     def check(self) -> None:
         """Raise if an interruption came between two waits.
@@ -92,10 +92,10 @@
         if self.kind is not None:
             raise AttemptInterruptedError(self.kind)
 
-    def _settle(
+    def _translate_cancellation(
         self,
         task: asyncio.Task[object],
-        before: int,
+        requests_before: int,
         error: BaseException,
     ) -> None:
         # A cancellation by someone else at the same time has to go on, or
@@ -103,7 +103,10 @@
         if not self._cancelled:
             return
         self._cancelled = False
-        others = task.uncancel() > before
-        if isinstance(error, asyncio.CancelledError) and not others:
+        cancelled_by_others = task.uncancel() > requests_before
+        if (
+            isinstance(error, asyncio.CancelledError)
+            and not cancelled_by_others
+        ):
             assert self.kind is not None  # noqa: S101
             raise AttemptInterruptedError(self.kind) from None
--- a/quetzalcourse/coordination/requests/request_progress.py
+++ b/quetzalcourse/coordination/requests/request_progress.py
@@ -17,11 +17,11 @@
     from quetzalcourse.coordination.requests.attempt import AttemptError
     from quetzalcourse.state.generation import GenerationRequest
 
-MAX_FRUITLESS = 4
-SHORTEST_WAIT = timedelta(seconds=1)
+MAX_ATTEMPTS_WITHOUT_PROGRESS = 4
+MIN_RETRY_AFTER = timedelta(seconds=1)
 
 
-def name_attempt(request_id: str, number: int) -> str:
+def build_attempt_id(request_id: str, number: int) -> str:
     """Name an attempt towards the engine.
 
     A cancellation or a chunk that comes late from an earlier attempt must
@@ -36,57 +36,59 @@
     """A request for tokens and what its attempts came to.
 
     :param request: what to run.
-    :param assembly: the answer so far.
+    :param assembler: the answer so far.
     """
 
     def __init__(
-        self, request: GenerationRequest, assembly: ChunkAssembler
+        self, request: GenerationRequest, assembler: ChunkAssembler
     ) -> None:
         """Begin before the first attempt."""
         self.request = request
-        self.assembly = assembly
+        self.assembler = assembler
         self.attempts = 0
         self.prompt_tokens = 0
         self.attempt_id = request.request_id
         self.failed: set[str] = set(request.avoid)
-        self._ran = False
-        self._fruitless = 0
-        self._length = 0
+        self._may_have_run = False
+        self._attempts_without_progress = 0
+        self._length_at_start = 0
 
     @property
-    def is_hopeless(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether too many attempts came to nothing."""
-        return self._fruitless >= MAX_FRUITLESS
+        return self._attempts_without_progress >= MAX_ATTEMPTS_WITHOUT_PROGRESS
 
     def begin(self) -> None:
         """Begin an attempt under a new id towards the engine."""
-        self.attempt_id = name_attempt(self.request.request_id, self.attempts)
+        self.attempt_id = build_attempt_id(
+            self.request.request_id, self.attempts
+        )
         self.attempts += 1
-        self._length = len(self.assembly.tokens)
-        self.assembly.begin(self.attempt_id)
+        self._length_at_start = len(self.assembler.tokens)
+        self.assembler.begin(self.attempt_id)
 
-    def count_fresh(self) -> int:
+    def count_new_tokens(self) -> int:
         """Count the tokens that the current attempt brought."""
-        return len(self.assembly.tokens) - self._length
+        return len(self.assembler.tokens) - self._length_at_start
 
     def on_failed(self, error: AttemptError) -> bool:
         """Learn how an attempt ended.
 
         :returns: whether it brought the answer forward.
         """
-        self._ran = self._ran or error.state not in NEVER_RAN
-        progressed = self.count_fresh() > 0
+        self._may_have_run = self._may_have_run or error.state not in NEVER_RAN
+        progressed = self.count_new_tokens() > 0
         if progressed:
-            self._fruitless = 0
+            self._attempts_without_progress = 0
             self.failed = set(self.request.avoid)
         else:
-            self._fruitless += 1
+            self._attempts_without_progress += 1
         self.failed.add(error.peer)
         return progressed
 
     def on_interrupted(self) -> None:
         """Learn that this daemon stopped an attempt."""
-        self._ran = True
+        self._may_have_run = True
 
     def adjust_not_run(self, error: RefusedError) -> RefusedError:
         """Make a refusal of the next attempt true for the whole request.
@@ -94,10 +96,10 @@
         An earlier attempt may have run, which whoever refuses the next one
         doesn't know.
         """
-        not_run = error.refusal.not_run and not self._ran
+        not_run = error.refusal.not_run and not self._may_have_run
         return RefusedError(replace(error.refusal, not_run=not_run))
 
-    def refuse_failed(self, wait: timedelta) -> RefusedError:
+    def refuse_upstreams_failed(self, wait: timedelta) -> RefusedError:
         """Give up since the engines fail.
 
         :param wait: when an engine may be tried again.
@@ -106,10 +108,10 @@
             RefusalCode.upstream_failed,
             'No engine could finish the request.',
             'generate',
-            max(wait, SHORTEST_WAIT),
+            max(wait, MIN_RETRY_AFTER),
         )
 
-    def refuse_late(self) -> RefusedError:
+    def refuse_deadline_passed(self) -> RefusedError:
         """Give up since the caller's deadline has passed."""
         return self._refuse(
             RefusalCode.deadline_exceeded,
@@ -117,7 +119,7 @@
             'generate',
         )
 
-    def refuse_too_late(self, needed: timedelta) -> RefusedError:
+    def refuse_deadline_too_near(self, needed: timedelta) -> RefusedError:
         """Give up since too little is left of the caller's deadline.
 
         :param needed: time that the answer probably takes.
@@ -126,10 +128,10 @@
             RefusalCode.deadline_exceeded,
             'Too little time was left for the answer.',
             'generate',
-            max(needed, SHORTEST_WAIT),
+            max(needed, MIN_RETRY_AFTER),
         )
 
-    def refuse_route(self) -> RefusedError:
+    def refuse_unknown_model(self) -> RefusedError:
         """Give up since no engine serves what was asked for."""
         return self._refuse(
             RefusalCode.unknown_model,
@@ -148,7 +150,7 @@
             Refusal(
                 code,
                 message,
-                not_run=not self._ran,
+                not_run=not self._may_have_run,
                 retry_after=retry_after,
                 step=step,
             )
--- a/quetzalcourse/coordination/requests/retries.py
+++ b/quetzalcourse/coordination/requests/retries.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-RATIO = 0.2
-RESERVE = 20.0
+RETRIES_PER_REQUEST = 0.2
+MAX_SAVED_RETRIES = 20.0
 
 
 class RetryBudget:
@@ -16,24 +16,30 @@
     :param reserve: retries that an account may save up, and begins with.
     """
 
-    def __init__(self, ratio: float = RATIO, reserve: float = RESERVE) -> None:
+    def __init__(
+        self,
+        ratio: float = RETRIES_PER_REQUEST,
+        reserve: float = MAX_SAVED_RETRIES,
+    ) -> None:
         """Begin with a full reserve for every account."""
         self._ratio = ratio
         self._reserve = reserve
-        self._left: dict[str, float] = {}
+        self._balances: dict[str, float] = {}
 
     def earn(self, client_account: str) -> None:
         """Count a request of an account."""
-        left = self._left.get(client_account, self._reserve)
-        self._left[client_account] = min(left + self._ratio, self._reserve)
+        balance = self._balances.get(client_account, self._reserve)
+        self._balances[client_account] = min(
+            balance + self._ratio, self._reserve
+        )
 
     def spend(self, client_account: str) -> bool:
         """Take one retry out of the budget.
 
         :returns: whether the account had one left.
         """
-        left = self._left.get(client_account, self._reserve)
-        if left < 1:
+        balance = self._balances.get(client_account, self._reserve)
+        if balance < 1:
             return False
-        self._left[client_account] = left - 1
+        self._balances[client_account] = balance - 1
         return True
--- a/quetzalcourse/coordination/requests/running_attempts.py
+++ b/quetzalcourse/coordination/requests/running_attempts.py
@@ -23,12 +23,12 @@
 class RunningAttempt:
     """An attempt that can be interrupted.
 
-    :param guard: what the attempt waits with.
+    :param scope: what the attempt waits with.
     :param tasks: wait for the events that interrupt it.
     """
 
     grant: Grant
-    guard: InterruptScope
+    scope: InterruptScope
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
 
@@ -41,26 +41,26 @@
     def __init__(self, clock: Clock) -> None:
         """Begin without attempts."""
         self._clock = clock
-        self._watches: dict[str, set[RunningAttempt]] = {}
+        self._attempts: dict[str, set[RunningAttempt]] = {}
 
     def on_begin(
         self, grant: Grant, request: GenerationRequest
     ) -> RunningAttempt:
         """Watch over an attempt that begins."""
-        guard = InterruptScope(grant.traffic_class)
-        watch = RunningAttempt(grant, guard)
-        self._watches.setdefault(grant.upstream.name, set()).add(watch)
+        scope = InterruptScope(grant.traffic_class)
+        attempt = RunningAttempt(grant, scope)
+        self._attempts.setdefault(grant.upstream.name, set()).add(attempt)
         loop = asyncio.get_running_loop()
-        watch.tasks.append(loop.create_task(self._expire(request, guard)))
+        attempt.tasks.append(loop.create_task(self._expire(request, scope)))
         if grant.traffic_class is TrafficClass.training:
-            watch.tasks.append(loop.create_task(_revoke(grant, guard)))
-        return watch
+            attempt.tasks.append(loop.create_task(_revoke(grant, scope)))
+        return attempt
 
-    def on_end(self, watch: RunningAttempt) -> None:
+    def on_end(self, attempt: RunningAttempt) -> None:
         """Forget an attempt that ended."""
-        for task in watch.tasks:
+        for task in attempt.tasks:
             task.cancel()
-        self._watches[watch.grant.upstream.name].discard(watch)
+        self._attempts[attempt.grant.upstream.name].discard(attempt)
 
     def on_departure(self, departure: Departure) -> None:
         """Move the streams of a leaving upstream elsewhere.
@@ -68,19 +68,19 @@
         Human callers' streams are short and finish in place while there is
         time; training streams may outlast any notice.
         """
-        for watch in tuple(self._watches.get(departure.upstream, ())):
-            guard = watch.guard
-            training = guard.traffic_class is TrafficClass.training
+        for attempt in tuple(self._attempts.get(departure.upstream, ())):
+            scope = attempt.scope
+            training = scope.traffic_class is TrafficClass.training
             if training or departure.humans:
-                guard.interrupt(Interruption.leaving)
+                scope.interrupt(Interruption.leaving)
 
     async def _expire(
-        self, request: GenerationRequest, guard: InterruptScope
+        self, request: GenerationRequest, scope: InterruptScope
     ) -> None:
         await self._clock.sleep(request.deadline - self._clock.elapsed())
-        guard.interrupt(Interruption.late)
+        scope.interrupt(Interruption.late)
 
 
-async def _revoke(grant: Grant, guard: InterruptScope) -> None:
+async def _revoke(grant: Grant, scope: InterruptScope) -> None:
     await grant.revoked.wait()
-    guard.interrupt(Interruption.revoked)
+    scope.interrupt(Interruption.revoked)
--- a/quetzalcourse/coordination/requests/service_dispatcher.py
+++ b/quetzalcourse/coordination/requests/service_dispatcher.py
@@ -25,8 +25,8 @@
     from quetzalcourse.coordination.usage.usage import UsageCounter
     from quetzalcourse.state.clock import Clock
 
-SERVICE_PATIENCE = timedelta(seconds=30)
-SHORTEST_WAIT = timedelta(seconds=1)
+DEFAULT_SERVICE_TIMEOUT = timedelta(seconds=30)
+MIN_RETRY_AFTER = timedelta(seconds=1)
 MAX_ATTEMPTS = 3
 MILLISECOND = timedelta(milliseconds=1)
 
@@ -42,7 +42,7 @@
     :param may_have_run: whether an attempt may have been run.
     :param answer_started: whether the caller has got a part of the answer.
     :param state: what is known of the last attempt.
-    :param began: time since boot at which the last attempt began.
+    :param started_at: time since boot at which the last attempt began.
     """
 
     service: str
@@ -55,7 +55,7 @@
     state: AttemptState = AttemptState.not_sent
     attempts: int = 0
     failed: set[str] = field(default_factory=set)
-    began: timedelta = timedelta(0)
+    started_at: timedelta = timedelta(0)
 
 
 class ServiceDispatcher:
@@ -115,15 +115,16 @@
         if not call.attempts:
             self._budget.earn(call.client_account)
         while True:
-            slot = SlotRequest(
+            slot_request = SlotRequest(
                 call.client_account,
                 TrafficClass.human,
                 self._rank(call),
-                call.deadline or self._clock.elapsed() + SERVICE_PATIENCE,
+                call.deadline
+                or self._clock.elapsed() + DEFAULT_SERVICE_TIMEOUT,
                 resumed=call.attempts > 0,
             )
             try:
-                grant = await self._admission.acquire(slot)
+                grant = await self._admission.acquire(slot_request)
             except RefusedError as error:
                 raise RefusedError(
                     adjust_not_run(error.refusal, call)
@@ -143,8 +144,10 @@
         """Learn that a call got a whole answer."""
         call.state = AttemptState.complete
         if self.usage is not None:
-            busy = self._clock.elapsed() - call.began
-            figures = UsageFigures(requests=1, milliseconds=busy // MILLISECOND)
+            duration = self._clock.elapsed() - call.started_at
+            figures = UsageFigures(
+                requests=1, milliseconds=duration // MILLISECOND
+            )
             self.usage.record(
                 grant.upstream,
                 call.client_account,
@@ -163,7 +166,7 @@
         call.may_have_run = call.may_have_run or connected
         call.failed.add(peer)
         self._health.on_failure(peer, connected=connected)
-        if not self._may_repeat(call):
+        if not self._may_retry(call):
             raise RefusedError(_refuse_failed(call, peer))
 
     def on_unhealthy(self, grant: Grant) -> None:
@@ -172,40 +175,42 @@
 
     def _begin(self, call: ServiceCall, name: str) -> None:
         call.attempts += 1
-        call.began = self._clock.elapsed()
+        call.started_at = self._clock.elapsed()
         call.state = AttemptState.not_sent
         self._health.on_start(name)
 
     def _rank(self, call: ServiceCall) -> tuple[str, ...]:
         names = self.find(call.service).upstreams
-        is_open = [name for name in names if self._router.is_open(name)]
-        admitted = [name for name in is_open if self._health.admits(name)]
+        open_names = [name for name in names if self._router.is_open(name)]
+        admitted = [name for name in open_names if self._health.admits(name)]
         if not admitted:
-            raise RefusedError(self._refuse_closed(call, is_open))
-        fresh = [name for name in admitted if name not in call.failed]
-        return tuple(sorted(fresh or admitted, key=self._admission.running))
+            raise RefusedError(self._refuse_no_upstream(call, open_names))
+        untried = [name for name in admitted if name not in call.failed]
+        return tuple(sorted(untried or admitted, key=self._admission.running))
 
-    def _may_repeat(self, call: ServiceCall) -> bool:
+    def _may_retry(self, call: ServiceCall) -> bool:
         if call.answer_started or not call.replayable:
             return False
-        if call.attempts >= MAX_ATTEMPTS or self._is_late(call):
+        if call.attempts >= MAX_ATTEMPTS or self._is_past_deadline(call):
             return False
         if call.state in NEVER_RAN or self.is_repeatable(call):
             return self._budget.spend(call.client_account)
         return False
 
-    def _is_late(self, call: ServiceCall) -> bool:
+    def _is_past_deadline(self, call: ServiceCall) -> bool:
         if call.deadline is None:
             return False
         return call.deadline <= self._clock.elapsed()
 
-    def _refuse_closed(self, call: ServiceCall, names: list[str]) -> Refusal:
+    def _refuse_no_upstream(
+        self, call: ServiceCall, names: list[str]
+    ) -> Refusal:
         wait = self._health.measure_wait(names)
         return Refusal(
             RefusalCode.upstream_failed,
             'No upstream of the service can be tried now.',
             not_run=not call.may_have_run,
-            retry_after=max(wait, SHORTEST_WAIT),
+            retry_after=max(wait, MIN_RETRY_AFTER),
             step='route',
         )
 
--- a/quetzalcourse/tests/coordination/requests/generation_tests.py
+++ b/quetzalcourse/tests/coordination/requests/generation_tests.py
@@ -45,10 +45,10 @@
 BROKEN = AttemptState.broken
 REFUSED = AttemptState.refused
 NOT_SENT = AttemptState.not_sent
-CROSSED = Piece(0, 1, request_id='another')
+FOREIGN_CHUNK = Piece(0, 1, request_id='another')
 
 
-class Bench:
+class GenerationHarness:
     """A generation over scripted engines.
 
     :param scripts: what the attempts meet, one after another.
@@ -59,7 +59,7 @@
         self.clock = FakeClock()
         self.counters = Counters()
         self.engines = FakeEngines(list(scripts))
-        self.admission = WatchedAdmission(self.clock)
+        self.admission = RecordingAdmission(self.clock)
         router = Router('hall')
         health = Health(self.clock, self.counters, Random(1))
         self.budget = RetryBudget()
@@ -105,7 +105,7 @@
         return sum(map(self.admission.running, ('engine-0', 'engine-1')))
 
 
-class WatchedAdmission(Admission):
+class RecordingAdmission(Admission):
     """Admission that remembers its grants."""
 
     grants: list[Grant]
@@ -127,11 +127,11 @@
     return Manifest(client_accounts={'readers': account}, upstreams=upstreams)
 
 
-async def refuse(bench: Bench) -> Refusal:
+async def expect_refusal(harness: GenerationHarness) -> Refusal:
     with pytest.raises(RefusedError) as raised:
-        await bench.run(bench.build_request())
+        await harness.run(harness.build_request())
     await settle()
-    assert bench.count_running() == 0
+    assert harness.count_running() == 0
     return raised.value.refusal
 
 
@@ -146,27 +146,27 @@
         ([(Piece(0, 2), Piece(1, 3), Piece(2, 4))], {}),
         ([(Piece(0, 2), Piece(0, 2), Piece(2, 4))], {'late': 1}),
         ([(Piece(0, 1), Piece(2, 4))], {'gap': 1}),
-        ([(CROSSED, *WHOLE)], {'crossed': 1}),
-        ([(CROSSED,) * 9], {'crossed': 8}),
+        ([(FOREIGN_CHUNK, *WHOLE)], {'crossed': 1}),
+        ([(FOREIGN_CHUNK,) * 9], {'crossed': 8}),
         ([(REFUSED,), (NOT_SENT,)], {}),
     ],
 )
-async def test_answer_is_whole(
+async def test_answer_is_complete_despite_faults(
     scripts: list[tuple[Step, ...]],
     dropped: dict[str, int],
 ) -> None:
     # Engines cut streams, send tokens again, leave some out and mix up
     # answers. A caller would read a poem with lines missing, doubled, or
     # out of another caller's poem.
-    bench = Bench(*scripts)
-    assert await bench.run(bench.build_request()) == list(ANSWER)
+    harness = GenerationHarness(*scripts)
+    assert await harness.run(harness.build_request()) == list(ANSWER)
     found = {
-        reason: bench.counters.read('chunks_dropped', reason=reason)
+        reason: harness.counters.read('chunks_dropped', reason=reason)
         for reason in ('late', 'gap', 'crossed')
     }
     assert {key: one for key, one in found.items() if one} == dropped
     await settle()
-    assert bench.count_running() == 0
+    assert harness.count_running() == 0
 
 
 @pytest.mark.parametrize(
@@ -176,20 +176,20 @@
         ([(REFUSED,)] * 4, True),
         ([(BROKEN,), *[(REFUSED,)] * 3], False),
         ([*[(NOT_SENT,)] * 3, (BROKEN,)], False),
-        ([(CROSSED, BROKEN), *[(NOT_SENT,)] * 3], False),
+        ([(FOREIGN_CHUNK, BROKEN), *[(NOT_SENT,)] * 3], False),
     ],
 )
-async def test_not_run_is_true(
+async def test_not_run_is_reported_only_if_no_engine_ran(
     scripts: list[tuple[Step, ...]],
     not_run: bool,
 ) -> None:
     # A caller who reads "not run" sends the request again, and pays twice
     # if an engine had run it after all.
-    bench = Bench(*scripts, engines=8)
-    refusal = await refuse(bench)
+    harness = GenerationHarness(*scripts, engines=8)
+    refusal = await expect_refusal(harness)
     assert refusal.code is RefusalCode.upstream_failed
     assert refusal.not_run is not_run
-    assert refusal.not_run is not bool(bench.engines.ran)
+    assert refusal.not_run is not bool(harness.engines.ran)
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -197,7 +197,7 @@
     st.lists(
         st.lists(
             st.one_of(
-                st.sampled_from((BROKEN, REFUSED, NOT_SENT, CROSSED)),
+                st.sampled_from((BROKEN, REFUSED, NOT_SENT, FOREIGN_CHUNK)),
                 st.builds(
                     lambda first, length: Piece(first, min(first + length, 4)),
                     st.integers(0, 3),
@@ -209,34 +209,36 @@
         max_size=6,
     )
 )
-def test_every_script_ends_well(scripts: list[tuple[Step, ...]]) -> None:
+def test_any_script_ends_in_whole_answer_or_error(
+    scripts: list[tuple[Step, ...]],
+) -> None:
     # Whatever engines do, a caller gets the whole answer or an error, and
     # "not run" only if no engine ran anything.
-    async def play() -> None:
-        bench = Bench(*scripts, engines=4)
+    async def run_script() -> None:
+        harness = GenerationHarness(*scripts, engines=4)
         try:
-            tokens = await bench.run(bench.build_request())
+            tokens = await harness.run(harness.build_request())
         except RefusedError as error:
-            assert not (error.refusal.not_run and bench.engines.ran)
+            assert not (error.refusal.not_run and harness.engines.ran)
         else:
             assert tokens == list(ANSWER)
         await settle()
-        assert bench.count_running() == 0
+        assert harness.count_running() == 0
 
-    asyncio.run(play())
+    asyncio.run(run_script())
 
 
-async def test_revoked_stream_moves() -> None:
+async def test_revoked_stream_resumes_at_last_token() -> None:
     # Humans need the slot of a training stream. A trainer whose stream
     # began again from the first token would lose what was generated.
-    bench = Bench((Piece(0, 2), 'stall'))
-    request = bench.build_request(TrafficClass.training)
-    task = asyncio.create_task(bench.run(request))
+    harness = GenerationHarness((Piece(0, 2), 'stall'))
+    request = harness.build_request(TrafficClass.training)
+    task = asyncio.create_task(harness.run(request))
     await settle()
-    bench.admission.grants[0].revoked.set()
+    harness.admission.grants[0].revoked.set()
     assert await task == list(ANSWER)
-    assert bench.engines.cancelled == ['request']
-    assert bench.engines.sent[1][1:] == ('request.1', ANSWER[:2])
+    assert harness.engines.cancelled == ['request']
+    assert harness.engines.sent[1][1:] == ('request.1', ANSWER[:2])
 
 
 @pytest.mark.parametrize(
@@ -247,91 +249,93 @@
         (TrafficClass.human, True, True),
     ],
 )
-async def test_stream_leaves_with_its_upstream(
+async def test_streams_move_from_leaving_upstream_by_class(
     traffic_class: TrafficClass,
     humans: bool,
     moves: bool,
 ) -> None:
     # An upstream gives notice. A long training stream that stayed would be
     # cut; a human's short one would only be slowed down by moving.
-    bench = Bench((Piece(0, 1), 'stall'))
-    task = asyncio.create_task(bench.run(bench.build_request(traffic_class)))
+    harness = GenerationHarness((Piece(0, 1), 'stall'))
+    task = asyncio.create_task(
+        harness.run(harness.build_request(traffic_class))
+    )
     await settle()
-    name = bench.engines.sent[0][0]
-    bench.generation.running_attempts.on_departure(Departure(name, humans))
+    name = harness.engines.sent[0][0]
+    harness.generation.running_attempts.on_departure(Departure(name, humans))
     await settle()
     assert task.done() is moves
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-async def test_caller_that_leaves_leaves_nothing() -> None:
+async def test_disconnected_caller_frees_slot_and_engine() -> None:
     # A reader closes the page in mid-answer. An engine that went on would
     # keep a slot from the next reader.
-    bench = Bench((Piece(0, 2), 'stall'))
-    task = asyncio.create_task(bench.run(bench.build_request()))
+    harness = GenerationHarness((Piece(0, 2), 'stall'))
+    task = asyncio.create_task(harness.run(harness.build_request()))
     await settle()
-    assert bench.count_running() == 1
+    assert harness.count_running() == 1
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
     await settle()
-    assert bench.engines.cancelled == ['request']
-    assert bench.engines.closed == 1
-    assert bench.count_running() == 0
+    assert harness.engines.cancelled == ['request']
+    assert harness.engines.closed == 1
+    assert harness.count_running() == 0
 
 
-async def test_deadline_ends_a_stalled_stream() -> None:
+async def test_stalled_stream_is_refused_at_deadline() -> None:
     # An engine hangs. The caller learns at the deadline that the answer is
     # not whole, and that the request did run.
-    bench = Bench((Piece(0, 2), 'stall'))
-    task = asyncio.create_task(refuse(bench))
-    await bench.clock.advance(timedelta(seconds=61))
+    harness = GenerationHarness((Piece(0, 2), 'stall'))
+    task = asyncio.create_task(expect_refusal(harness))
+    await harness.clock.advance(timedelta(seconds=61))
     refusal = await task
     assert refusal.code is RefusalCode.deadline_exceeded
     assert refusal.not_run is False
 
 
-async def test_hopeless_request_is_not_sent() -> None:
+async def test_request_without_enough_time_is_not_sent() -> None:
     # More is asked for than the engines can do. Every request is granted
     # its slot just before its deadline; sent, all would be cut by it.
-    bench = Bench(engines=1)
-    first = bench.admission.acquire
+    harness = GenerationHarness(engines=1)
+    original_acquire = harness.admission.acquire
 
     async def acquire(slot):  # type: ignore[no-untyped-def]
-        bench.clock.move(waiting)
-        return await first(slot)
+        harness.clock.move(waiting)
+        return await original_acquire(slot)
 
-    bench.admission.acquire = acquire  # type: ignore[method-assign]
-    bench.engines.pause = bench.clock.move
+    harness.admission.acquire = acquire  # type: ignore[method-assign]
+    harness.engines.pause = harness.clock.move
     waiting = timedelta(0)
     for _ in range(10):
-        await bench.run(bench.build_request())
+        await harness.run(harness.build_request())
     waiting = timedelta(seconds=51)
-    refusal = await refuse(bench)
+    refusal = await expect_refusal(harness)
     assert refusal.code is RefusalCode.deadline_exceeded
     assert refusal.not_run is True
     assert refusal.retry_after
-    assert len(bench.engines.sent) == 10
+    assert len(harness.engines.sent) == 10
     waiting = timedelta(seconds=49)
-    assert await bench.run(bench.build_request()) == list(ANSWER)
+    assert await harness.run(harness.build_request()) == list(ANSWER)
 
 
-async def test_wrong_version_is_not_shown() -> None:
+async def test_chunk_of_wrong_version_is_not_delivered() -> None:
     # Weights are swapped in mid-stream under a caller who asked for one
     # version. The tokens of the other would bear a false name.
-    bench = Bench((Piece(0, 2), Piece(2, 4, weight_version=2)))
-    request = replace(bench.build_request(), weight_version=1)
-    assert await bench.run(request) == list(ANSWER)
-    assert bench.engines.sent[1][2] == ANSWER[:2]
+    harness = GenerationHarness((Piece(0, 2), Piece(2, 4, weight_version=2)))
+    request = replace(harness.build_request(), weight_version=1)
+    assert await harness.run(request) == list(ANSWER)
+    assert harness.engines.sent[1][2] == ANSWER[:2]
 
 
-async def test_retries_are_bounded() -> None:
+async def test_retries_stay_within_budget() -> None:
     # Every engine breaks every stream. Without a budget each request would
     # come four times, just when capacity is least.
-    bench = Bench(*[(BROKEN,)] * 400, engines=2)
+    harness = GenerationHarness(*[(BROKEN,)] * 400, engines=2)
     for _ in range(100):
         with pytest.raises(RefusedError):
-            await bench.run(bench.build_request())
-        bench.clock.move(timedelta(seconds=40))
-    assert len(bench.engines.sent) <= 100 + 20 + 100 * 0.2
+            await harness.run(harness.build_request())
+        harness.clock.move(timedelta(seconds=40))
+    assert len(harness.engines.sent) <= 100 + 20 + 100 * 0.2
--- a/quetzalcourse/tests/coordination/requests/idempotency_tests.py
+++ b/quetzalcourse/tests/coordination/requests/idempotency_tests.py
@@ -24,7 +24,7 @@
 OTHER_ACCOUNT = replace(OTHER_BODY, client_account='editors')
 
 
-async def ask(
+async def expect_refusal(
     claims: IdempotencyStore, call: KeyedCall
 ) -> tuple[RefusalCode, bool]:
     """Claim a key that can't be claimed."""
@@ -45,7 +45,9 @@
         (['lost_before'] * 3, False),
     ],
 )
-async def test_claim_is_found_out(faults: list[str], taken: bool) -> None:
+async def test_claim_is_recovered_after_store_fault(
+    faults: list[str], taken: bool
+) -> None:
     # The store loses an answer after the write took effect. A daemon that
     # believed its claim failed would refuse a call that nobody else can
     # make any more.
@@ -55,7 +57,7 @@
     if taken:
         await claims.claim(CALL)
     else:
-        assert await ask(claims, CALL) == (
+        assert await expect_refusal(claims, CALL) == (
             RefusalCode.store_unavailable,
             True,
         )
@@ -73,7 +75,7 @@
         (OTHER_ACCOUNT, 'answered', None),
     ],
 )
-async def test_second_use_is_told(
+async def test_second_use_gets_outcome_of_first(
     call: KeyedCall,
     state: str,
     expected: tuple[RefusalCode, bool] | None,
@@ -91,7 +93,7 @@
     if expected is None:
         await second.claim(call)
     else:
-        assert await ask(second, call) == expected
+        assert await expect_refusal(second, call) == expected
 
 
 async def test_unreadable_claim_is_refused() -> None:
@@ -107,7 +109,10 @@
         return await reading(key)
 
     store.read = read  # type: ignore[method-assign]
-    assert await ask(claims, CALL) == (RefusalCode.store_unavailable, True)
+    assert await expect_refusal(claims, CALL) == (
+        RefusalCode.store_unavailable,
+        True,
+    )
 
 
 FAULT = st.sampled_from(('', '', 'not_applied', 'lost_before', 'lost_after'))
@@ -119,7 +124,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(USE, min_size=2, max_size=6), st.booleans())
-def test_key_runs_once(
+def test_keyed_call_runs_at_most_once(
     uses: list[tuple[list[str], str]],
     together: bool,
 ) -> None:
@@ -142,7 +147,7 @@
         if outcome == 'answered':
             await claims.on_answered(claim, 200)
 
-    async def play() -> None:
+    async def run_uses() -> None:
         store = FakeStore()
         tasks = []
         for number, (faults, outcome) in enumerate(uses):
@@ -152,5 +157,5 @@
                 await tasks[-1]
         await asyncio.gather(*tasks)
 
-    asyncio.run(play())
+    asyncio.run(run_uses())
     assert len(runs) <= 1
