--- a/quetzalcourse/coordination/requests/__init__.py
+++ b/quetzalcourse/coordination/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request from admission to the last byte, whatever fails."""
+"""Execution of one request from admission to the last byte, with retries."""
--- a/quetzalcourse/coordination/requests/attempt.py
+++ b/quetzalcourse/coordination/requests/attempt.py
@@ -1,4 +1,4 @@
-"""Outcome of one attempt to run a request on an upstream."""
+"""State of one attempt to run a request on an upstream."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 class AttemptError(QuetzalcourseError):
     """Attempt that did not complete.
 
-    :param state: what is known of the attempt.
-    :param step: operation at which it failed.
+    :param state: known state of the attempt.
+    :param step: operation that failed.
     :param peer: name of the upstream.
     """
 
     def __init__(self, state: AttemptState, step: str, peer: str) -> None:
-        """Keep what decides whether the request may be sent again."""
+        """Keep the state that decides whether the request may be sent again."""
         super().__init__(f'{step} at {peer}: {state.value}')
         self.state = state
         self.step = step
@@ -45,13 +45,13 @@
 class Attempt:
     """State machine of one attempt.
 
-    A request that may not be repeated is sent again, or called "not run",
-    only from the states in which no upstream can have begun it. The states
-    go forward only, so a late error can't make a sent request look unsent.
+    A non-repeatable request is sent again, or reported as "not run", only from
+    the states in which no upstream can have started it. Transitions only go
+    forward, so a late error can't make a sent request look unsent.
     """
 
     def __init__(self) -> None:
-        """Begin before the first byte has left."""
+        """Create in the state before the first byte is sent."""
         self.state = AttemptState.not_sent
 
     @property
@@ -60,9 +60,9 @@
         return self.state in NEVER_RAN
 
     def advance(self, state: AttemptState) -> None:
-        """Move forward; a state that does not follow is ignored.
+        """Move to a following state; ignore any other.
 
-        :param state: what has become known.
+        :param state: newly known state.
         """
         if state in _TRANSITIONS[self.state]:
             self.state = state
--- a/quetzalcourse/coordination/requests/attempt_cleanup.py
+++ b/quetzalcourse/coordination/requests/attempt_cleanup.py
@@ -1,4 +1,4 @@
-"""Ends of attempts: the engine stops before its slot is given back."""
+"""Cleanup of ended attempts: the engine stops before its slot is released."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class AttemptCleanup:
-    """Gives slots back once nothing runs on them any more.
+    """Releases slots once nothing runs on them any more.
 
     :param admission: takes the slots back.
     :param engines: connections to the engines.
     """
 
     def __init__(self, admission: Admission, engines: Engines) -> None:
-        """Begin without an attempt to close."""
+        """Create without pending cancellations."""
         self._admission = admission
         self._engines = engines
         self._tasks: set[asyncio.Task[None]] = set()
@@ -32,9 +32,9 @@
     def close(
         self, grant: Grant, progress: RequestProgress, state: AttemptState
     ) -> None:
-        """Close an attempt without waiting for the engine.
+        """Clean up an attempt without waiting for the engine.
 
-        :param state: what is known of the attempt.
+        :param state: known state of the attempt.
         """
         generated = progress.count_new_tokens()
         if state in NEVER_RAN or state is AttemptState.complete:
@@ -46,7 +46,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Wait until the last cancellations have been sent."""
+        """Wait until all pending cancellations have been sent."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _cancel(
@@ -55,8 +55,8 @@
         attempt_id: str,
         generated: int,
     ) -> None:
-        # The engine runs the request until it is told to stop. Were the
-        # slot released before, the next request would queue inside it.
+        # The engine runs the request until it is told to stop. If the slot were
+        # released earlier, the next request would queue inside the engine.
         try:
             await self._engines.cancel(grant.upstream, attempt_id)
         finally:
--- a/quetzalcourse/coordination/requests/chunk_assembler.py
+++ b/quetzalcourse/coordination/requests/chunk_assembler.py
@@ -15,17 +15,17 @@
 
 
 class ChunkError(QuetzalcourseError):
-    """Stream whose chunks can't become the answer any more."""
+    """Stream whose chunks can no longer complete the answer."""
 
 
 class ChunkAssembler:
-    """Puts an answer together, each offset once and in order.
+    """Assembles an answer, each token offset once and in order.
 
     :param request: request that the answer belongs to.
     """
 
     def __init__(self, request: GenerationRequest, counters: Counters) -> None:
-        """Begin before the first token."""
+        """Create without any tokens of an attempt."""
         self.tokens: list[str] = list(request.received)
         self._request = request
         self._counters = counters
@@ -43,13 +43,13 @@
         self._consecutive_drops = 0
 
     def accept(self, chunk: Chunk) -> Chunk | None:
-        """Take a chunk as far as it is new.
+        """Accept the new tokens of a chunk.
 
-        The last chunk is held until :meth:`finish`: if the stream broke
-        before its end marker, the resumed stream would show it again.
+        The last chunk is held back until :meth:`finish`: if the stream broke
+        before its end marker, the resumed stream would deliver it again.
 
-        :returns: what the caller may see now, if anything.
-        :raises ChunkError: if this stream can't go on to a whole answer.
+        :returns: the chunk to pass to the caller now, if any.
+        :raises ChunkError: if this stream can no longer complete the answer.
         """
         if chunk.request_id != self._attempt_id or self._last_chunk is not None:
             self._drop('crossed')
@@ -58,7 +58,7 @@
         end = chunk.offset + len(chunk.tokens)
         if chunk.offset > expected:
             self._count('gap')
-            raise ChunkError('tokens are missing in the stream')
+            raise ChunkError('tokens are missing from the stream')
         if end < expected or (end == expected and not chunk.finish_reason):
             self._drop('late')
             return None
@@ -66,7 +66,7 @@
         return self._append(chunk, expected)
 
     def finish(self) -> Chunk | None:
-        """Give the last chunk, once the end marker was seen.
+        """Return the last chunk, once the end marker has been received.
 
         :returns: ``None`` if the stream ended without a last chunk.
         """
@@ -94,8 +94,8 @@
         return new_chunk
 
     def _check_version(self, chunk: Chunk) -> None:
-        # Weights may be swapped in mid-stream. Tokens of another version
-        # than the one asked for would be shown under a false name.
+        # Weights may be swapped in mid-stream. Tokens of a version other than
+        # the requested one would be reported under the wrong version.
         version = chunk.weight_version
         if not version:
             return
@@ -103,13 +103,13 @@
         if version < self._request.oldest_version:
             raise ChunkError('the weight version is too old')
         if requested_version not in {None, version}:
-            raise ChunkError('the weight version is not the one asked for')
+            raise ChunkError('the weight version is not the requested one')
 
     def _drop(self, reason: str) -> None:
         self._count(reason)
         self._consecutive_drops += 1
         if self._consecutive_drops >= MAX_CONSECUTIVE_DROPS:
-            raise ChunkError('the stream carries other chunks only')
+            raise ChunkError('the stream carries no usable chunks')
 
     def _count(self, reason: str) -> None:
         self._counters.add('chunks_dropped', reason=reason)
--- a/quetzalcourse/coordination/requests/duration_estimator.py
+++ b/quetzalcourse/coordination/requests/duration_estimator.py
@@ -1,4 +1,4 @@
-"""How long answers take, learnt from those that came."""
+"""Estimates of answer durations, learnt from completed answers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclass(slots=True)
 class ModelPace:
-    """Pace of one model.
+    """Observed speed of one model.
 
-    :param token_seconds: time that a token takes.
-    :param used_share: share of ``max_tokens`` that answers come to.
+    :param token_seconds: time per token.
+    :param used_share: answer length as a share of ``max_tokens``.
     """
 
     token_seconds: float = 0.0
@@ -27,10 +27,10 @@
 
 
 class DurationEstimator:
-    """Estimates the time to a whole answer for each model."""
+    """Estimates the time to a complete answer for each model."""
 
     def __init__(self) -> None:
-        """Begin without knowledge."""
+        """Create without observations."""
         self._paces_by_model: dict[str, ModelPace] = {}
 
     def record(
@@ -39,10 +39,10 @@
         generated: int,
         duration: timedelta,
     ) -> None:
-        """Learn from an answer that one attempt made as a whole.
+        """Record an answer that a single attempt generated completely.
 
-        :param generated: tokens of the answer.
-        :param duration: time from sending the request to its end.
+        :param generated: number of tokens in the answer.
+        :param duration: time from sending the request to the end of the answer.
         """
         if not generated:
             return
@@ -57,8 +57,8 @@
     def estimate(self, request: GenerationRequest, received: int) -> timedelta:
         """Estimate the time that the rest of an answer takes.
 
-        :param received: tokens that are there already.
-        :returns: zero as long as too few answers were seen.
+        :param received: number of tokens already received.
+        :returns: zero as long as too few answers have been recorded.
         """
         pace = self._paces_by_model.get(request.model)
         if pace is None or pace.samples < MIN_SAMPLES:
--- a/quetzalcourse/coordination/requests/generation_runner.py
+++ b/quetzalcourse/coordination/requests/generation_runner.py
@@ -1,4 +1,4 @@
-"""Generation: one request for tokens from admission to the last token."""
+"""Execution of generation requests from admission to the last token."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 
 
 class GenerationRunner:
-    """Runs requests for tokens on engines.
+    """Runs generation requests on engines.
 
-    :param admission: hands out slots.
+    :param admission: assigns slots.
     :param router: ranks the engines.
-    :param health: knows which engines fail.
-    :param budget: bounds the retries of each account.
+    :param health: tracks which engines fail.
+    :param budget: limits the retries of each account.
     :param engines: connections to the engines.
     """
 
@@ -67,7 +67,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Keep the parts that a request passes through."""
+        """Keep the components that a request passes through."""
         self._admission = admission
         self._router = router
         self._health = health
@@ -83,13 +83,13 @@
     async def run(self, request: GenerationRequest) -> AsyncIterator[Chunk]:
         """Yield the tokens of a request, each offset once and in order.
 
-        A stream that breaks goes on behind its last token on the same or
-        another engine, since tokens depend on request and offset only.
-        The iterator is to be closed, so that an engine stops when the
-        caller has gone.
+        A broken stream resumes after its last token on the same or another
+        engine, since tokens depend only on request and offset. The caller must
+        close the iterator, so that the engine stops when the caller has
+        disconnected.
 
-        :param request: what to run.
-        :raises RefusedError: when no engine finishes the request.
+        :param request: the request to run.
+        :raises RefusedError: when no engine completes the request.
         """
         progress = RequestProgress(
             request, ChunkAssembler(request, self._counters)
@@ -110,7 +110,7 @@
                 return
 
     async def stop(self) -> None:
-        """Wait until the last cancellations have been sent."""
+        """Wait until all pending cancellations have been sent."""
         await self._attempt_cleanup.stop()
 
     async def _acquire(self, progress: RequestProgress) -> Grant:
@@ -128,7 +128,7 @@
                 grant = await self._admission.acquire(slot_request)
             except RefusedError as error:
                 raise progress.adjust_not_run(error) from error
-            # The engine may have failed while this request waited for it.
+            # The engine may have failed while this request waited for its slot.
             name = grant.upstream.name
             if self._health.admits(name) and self._router.is_open(name):
                 self._check_remaining_time(grant, progress)
@@ -139,8 +139,8 @@
         self, grant: Grant, progress: RequestProgress
     ) -> None:
         # Under overload every request is granted its slot just before its
-        # deadline. Sent nonetheless, all would be cut at the deadline, and
-        # the engines would be busy without one whole answer.
+        # deadline. If sent anyway, all would be cut off at the deadline, and
+        # the engines would be busy without completing a single answer.
         received = len(progress.assembler.tokens)
         needed = self._duration_estimator.estimate(progress.request, received)
         if progress.request.deadline - self._clock.elapsed() < needed:
--- a/quetzalcourse/coordination/requests/idempotency.py
+++ b/quetzalcourse/coordination/requests/idempotency.py
@@ -1,4 +1,4 @@
-"""Claims of callers' idempotency keys, made before anything is sent."""
+"""Idempotency keys of callers, claimed before a call is sent."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of the call that a key was used for."""
+    """Known state of the call that a key was used for."""
 
     claimed = 'claimed'
     not_run = 'not_run'
@@ -44,7 +44,7 @@
     """Content of a claim's row.
 
     :param holder: request id of the call that made the claim.
-    :param digest: SHA-256 of what the call asked for, in hexadecimal.
+    :param digest: SHA-256 of the call's content, in hexadecimal.
     :param status: HTTP status that the call was answered with.
     """
 
@@ -59,7 +59,7 @@
     """A call that carries an idempotency key.
 
     :param key: the caller's key.
-    :param digest: SHA-256 of what the call asks for, in hexadecimal.
+    :param digest: SHA-256 of the call's content, in hexadecimal.
     """
 
     request_id: str
@@ -69,14 +69,14 @@
 
     @property
     def row_key(self) -> str:
-        """Key of the claim's row; an account can't meet another's keys."""
+        """Key of the claim's row, separate for each account."""
         named = f'{self.client_account}\n{self.key}'.encode()
         return f'idempotency/{hashlib.sha256(named).hexdigest()}'
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Leave to send a call once.
+    """Permission to send a call once.
 
     :param version: version of the claim's row.
     """
@@ -88,8 +88,8 @@
 class IdempotencyStore:
     """Claims idempotency keys in the platform's table.
 
-    :param table: shared by all daemons, so that a caller who asks again
-        through another daemon is recognised.
+    :param table: shared by all daemons, so that a caller who retries through
+        another daemon is recognised.
     """
 
     def __init__(self, table: Table) -> None:
@@ -97,10 +97,10 @@
         self._table = table
 
     async def claim(self, call: KeyedCall) -> Claim:
-        """Claim a key for a call that was not sent yet.
+        """Claim a key for a call that has not been sent yet.
 
         :raises RefusedError: if the key was used before, or if it can't be
-            found out whether the claim took effect.
+            determined whether the claim took effect.
         """
         version = ABSENT
         for _ in range(MAX_CLAIM_ATTEMPTS):
@@ -117,10 +117,10 @@
         raise RefusedError(_refuse_store_unavailable())
 
     async def on_answered(self, claim: Claim, status: int) -> bool:
-        """Note the status that a call was answered with.
+        """Record the status that a call was answered with.
 
-        :returns: whether it was noted; if not, the key stays claimed and
-            whoever asks again learns that the outcome is unknown.
+        :returns: whether it was recorded; if not, the key stays claimed and a
+            caller who retries is told that the outcome is unknown.
         """
         answer = await self._write(
             claim.call, claim.version, ClaimState.answered, status
@@ -130,8 +130,8 @@
     async def on_not_run(self, claim: Claim) -> bool:
         """Give up the claim of a call that certainly did not run.
 
-        The row stays, since a deletion that takes effect late could remove
-        the claim of the next call with this key.
+        The row stays, since a delayed deletion could remove the claim of the
+        next call with this key.
 
         :returns: whether the key can be used again.
         """
@@ -163,8 +163,8 @@
         if isinstance(answer, Ok):
             conflicts = answer.ok_value.conflicts
             return conflicts[0] if conflicts else None
-        # A write whose answer was lost may have taken effect. Sending the
-        # call without knowing could let a second daemon send it as well.
+        # A write whose answer was lost may have taken effect. Sending the call
+        # without knowing could let a second daemon send it as well.
         if answer.err_value.kind is FaultKind.not_applied:
             return None
         found = await self._table.read(call.row_key)
@@ -174,7 +174,7 @@
 
 
 def digest_call(method: str, path: str, body: bytes) -> str:
-    """Name what a call asks for.
+    """Compute the digest that identifies a call's content.
 
     :param path: service, path and query.
     """
@@ -183,7 +183,7 @@
 
 
 def _is_own_claim(call: KeyedCall, row: Row) -> bool:
-    """Tell whether the claim is the call's own; else it can be replaced.
+    """Check whether the call itself made the claim; if not, it can be replaced.
 
     :raises RefusedError: if the key was used by another call.
     """
--- a/quetzalcourse/coordination/requests/interrupt_scope.py
+++ b/quetzalcourse/coordination/requests/interrupt_scope.py
@@ -1,4 +1,4 @@
-"""Interruption of a wait without cancelling the task that waits."""
+"""Interruption of a wait without cancelling the waiting task."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Interruption(enum.StrEnum):
-    """Why an attempt was stopped by this daemon."""
+    """Reason why this daemon stopped an attempt."""
 
     revoked = 'revoked'
     leaving = 'leaving'
@@ -26,9 +26,9 @@
 
 
 class AttemptInterruptedError(QuetzalcourseError):
-    """Wait that ended because this daemon wanted it to.
+    """Wait that this daemon interrupted.
 
-    :param kind: why it was stopped.
+    :param kind: why it was interrupted.
     """
 
     def __init__(self, kind: Interruption) -> None:
@@ -40,24 +40,24 @@
 class InterruptScope:
     """Lets other tasks interrupt the waits of one attempt.
 
-    Between two waits the attempt's task runs its caller's code, such as a
-    write to the caller's connection. An interruption that arrived there
-    would break that write, so it takes effect at the next wait.
+    Between two waits the attempt's task runs its caller's code, such as a write
+    to the caller's connection. An interruption at that point would break the
+    write, so it takes effect at the next wait.
 
-    :param traffic_class: class of the request that waits.
+    :param traffic_class: class of the waiting request.
     """
 
     def __init__(self, traffic_class: TrafficClass) -> None:
-        """Begin without an interruption."""
+        """Create without an interruption."""
         self.traffic_class = traffic_class
         self.kind: Interruption | None = None
         self._waiting_task: asyncio.Task[object] | None = None
         self._cancelled = False
 
     def interrupt(self, kind: Interruption) -> None:
-        """Stop the current or the next wait.
+        """Interrupt the current or the next wait.
 
-        :param kind: why; only the first reason counts.
+        :param kind: the reason; only the first one counts.
         """
         if self.kind is not None:
             return
@@ -67,7 +67,7 @@
             self._waiting_task.cancel()
 
     async def wait(self, awaitable: Awaitable[Outcome]) -> Outcome:
-        """Wait for something unless interrupted.
+        """Wait for an awaitable unless interrupted.
 
         :raises AttemptInterruptedError: when :meth:`interrupt` was called.
         """
@@ -85,7 +85,7 @@
             self._waiting_task = None
 
     def check(self) -> None:
-        """Raise if an interruption came between two waits.
+        """Raise if an interruption arrived between two waits.
 
         :raises AttemptInterruptedError: when :meth:`interrupt` was called.
         """
@@ -98,8 +98,8 @@
         requests_before: int,
         error: BaseException,
     ) -> None:
-        # A cancellation by someone else at the same time has to go on, or
-        # a caller who went away would keep its request running.
+        # A cancellation by another task at the same time must propagate, or the
+        # request of a caller that disconnected would keep running.
         if not self._cancelled:
             return
         self._cancelled = False
--- a/quetzalcourse/coordination/requests/request_progress.py
+++ b/quetzalcourse/coordination/requests/request_progress.py
@@ -1,4 +1,4 @@
-"""Progress of one request for tokens over its attempts."""
+"""Progress of one generation request over its attempts."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 def build_attempt_id(request_id: str, number: int) -> str:
-    """Name an attempt towards the engine.
+    """Build the id of an attempt that is sent to the engine.
 
-    A cancellation or a chunk that comes late from an earlier attempt must
-    not touch the one that goes on at the same engine.
+    A late cancellation or chunk of an earlier attempt must not affect the
+    attempt that continues on the same engine.
 
-    :param number: counts the attempts of the request from zero.
+    :param number: index of the attempt, starting from zero.
     """
     return f'{request_id}.{number}' if number else request_id
 
 
 class RequestProgress:
-    """A request for tokens and what its attempts came to.
+    """A generation request and the state of its attempts.
 
-    :param request: what to run.
+    :param request: the request to run.
     :param assembler: the answer so far.
     """
 
     def __init__(
         self, request: GenerationRequest, assembler: ChunkAssembler
     ) -> None:
-        """Begin before the first attempt."""
+        """Create before the first attempt."""
         self.request = request
         self.assembler = assembler
         self.attempts = 0
@@ -55,11 +55,11 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether too many attempts came to nothing."""
+        """Whether too many attempts made no progress."""
         return self._attempts_without_progress >= MAX_ATTEMPTS_WITHOUT_PROGRESS
 
     def begin(self) -> None:
-        """Begin an attempt under a new id towards the engine."""
+        """Start an attempt under a new id."""
         self.attempt_id = build_attempt_id(
             self.request.request_id, self.attempts
         )
@@ -68,13 +68,13 @@
         self.assembler.begin(self.attempt_id)
 
     def count_new_tokens(self) -> int:
-        """Count the tokens that the current attempt brought."""
+        """Count the tokens that the current attempt added."""
         return len(self.assembler.tokens) - self._length_at_start
 
     def on_failed(self, error: AttemptError) -> bool:
-        """Learn how an attempt ended.
+        """Record how an attempt failed.
 
-        :returns: whether it brought the answer forward.
+        :returns: whether it added tokens to the answer.
         """
         self._may_have_run = self._may_have_run or error.state not in NEVER_RAN
         progressed = self.count_new_tokens() > 0
@@ -87,22 +87,22 @@
         return progressed
 
     def on_interrupted(self) -> None:
-        """Learn that this daemon stopped an attempt."""
+        """Record that this daemon interrupted an attempt."""
         self._may_have_run = True
 
     def adjust_not_run(self, error: RefusedError) -> RefusedError:
-        """Make a refusal of the next attempt true for the whole request.
+        """Adjust a refusal of the next attempt to the whole request.
 
-        An earlier attempt may have run, which whoever refuses the next one
-        doesn't know.
+        An earlier attempt may have run, which the component that refuses the
+        next one does not know.
         """
         not_run = error.refusal.not_run and not self._may_have_run
         return RefusedError(replace(error.refusal, not_run=not_run))
 
     def refuse_upstreams_failed(self, wait: timedelta) -> RefusedError:
-        """Give up since the engines fail.
+        """Build the error for a request that no engine could finish.
 
-        :param wait: when an engine may be tried again.
+        :param wait: time until an engine may be tried again.
         """
         return self._refuse(
             RefusalCode.upstream_failed,
@@ -112,27 +112,27 @@
         )
 
     def refuse_deadline_passed(self) -> RefusedError:
-        """Give up since the caller's deadline has passed."""
+        """Build the error for a request whose deadline has passed."""
         return self._refuse(
             RefusalCode.deadline_exceeded,
-            'The answer was not whole before the deadline.',
+            'The answer was not complete before the deadline.',
             'generate',
         )
 
     def refuse_deadline_too_near(self, needed: timedelta) -> RefusedError:
-        """Give up since too little is left of the caller's deadline.
+        """Build the error for a request with too little time left.
 
-        :param needed: time that the answer probably takes.
+        :param needed: estimated duration of the answer.
         """
         return self._refuse(
             RefusalCode.deadline_exceeded,
-            'Too little time was left for the answer.',
+            'Too little time was left before the deadline.',
             'generate',
             max(needed, MIN_RETRY_AFTER),
         )
 
     def refuse_unknown_model(self) -> RefusedError:
-        """Give up since no engine serves what was asked for."""
+        """Build the error for a model that no engine serves."""
         return self._refuse(
             RefusalCode.unknown_model,
             f'No engine serves the model {self.request.model!r}.',
--- a/quetzalcourse/coordination/requests/retries.py
+++ b/quetzalcourse/coordination/requests/retries.py
@@ -1,4 +1,4 @@
-"""Budget that keeps retries a small share of the requests."""
+"""Retry budget that keeps retries a small share of the requests."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class RetryBudget:
-    """Retries that each client account may still spend.
+    """Limits the retries of each client account.
 
-    When every upstream fails, retries without a budget multiply the load
-    just when capacity is least. Each request earns a fraction of a retry.
+    When every upstream fails, unlimited retries multiply the load just when
+    capacity is lowest. Each request earns a fraction of a retry.
 
-    :param ratio: retries that a request earns.
-    :param reserve: retries that an account may save up, and begins with.
+    :param ratio: retries earned per request.
+    :param reserve: retries that an account can save, and starts with.
     """
 
     def __init__(
@@ -21,13 +21,13 @@
         ratio: float = RETRIES_PER_REQUEST,
         reserve: float = MAX_SAVED_RETRIES,
     ) -> None:
-        """Begin with a full reserve for every account."""
+        """Create with a full reserve for every account."""
         self._ratio = ratio
         self._reserve = reserve
         self._balances: dict[str, float] = {}
 
     def earn(self, client_account: str) -> None:
-        """Count a request of an account."""
+        """Add a request's share of a retry to the account's budget."""
         balance = self._balances.get(client_account, self._reserve)
         self._balances[client_account] = min(
             balance + self._ratio, self._reserve
--- a/quetzalcourse/coordination/requests/running_attempts.py
+++ b/quetzalcourse/coordination/requests/running_attempts.py
@@ -1,4 +1,4 @@
-"""Interruptions of running attempts: deadlines, revoked slots, departures."""
+"""Running attempts and their interruption at deadlines and revocations."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 class RunningAttempt:
     """An attempt that can be interrupted.
 
-    :param scope: what the attempt waits with.
+    :param scope: interrupts the waits of the attempt.
     :param tasks: wait for the events that interrupt it.
     """
 
@@ -33,20 +33,23 @@
 
 
 class RunningAttempts:
-    """Knows the running attempts and interrupts them.
+    """Tracks the running attempts and interrupts them.
 
-    :param clock: tells when a deadline has passed.
+    Attempts end at their deadline, when their slot is revoked, or when their
+    upstream leaves.
+
+    :param clock: used to wait for deadlines.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without attempts."""
+        """Create without attempts."""
         self._clock = clock
         self._attempts: dict[str, set[RunningAttempt]] = {}
 
     def on_begin(
         self, grant: Grant, request: GenerationRequest
     ) -> RunningAttempt:
-        """Watch over an attempt that begins."""
+        """Register an attempt that starts."""
         scope = InterruptScope(grant.traffic_class)
         attempt = RunningAttempt(grant, scope)
         self._attempts.setdefault(grant.upstream.name, set()).add(attempt)
@@ -57,15 +60,15 @@
         return attempt
 
     def on_end(self, attempt: RunningAttempt) -> None:
-        """Forget an attempt that ended."""
+        """Unregister an attempt that ended."""
         for task in attempt.tasks:
             task.cancel()
         self._attempts[attempt.grant.upstream.name].discard(attempt)
 
     def on_departure(self, departure: Departure) -> None:
-        """Move the streams of a leaving upstream elsewhere.
+        """Move the streams of a leaving upstream to other upstreams.
 
-        Human callers' streams are short and finish in place while there is
+        Streams of human callers are short and finish in place while there is
         time; training streams may outlast any notice.
         """
         for attempt in tuple(self._attempts.get(departure.upstream, ())):
--- a/quetzalcourse/coordination/requests/service_dispatcher.py
+++ b/quetzalcourse/coordination/requests/service_dispatcher.py
@@ -1,4 +1,4 @@
-"""Plain services: which upstream runs a call, and whether it may repeat."""
+"""Dispatch of calls to plain services, with retries on other upstreams."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
     :param service: name of the service in the manifest.
     :param method: HTTP method.
     :param deadline: time since boot at which the caller stops waiting.
-    :param replayable: whether the body can be sent once more.
-    :param may_have_run: whether an attempt may have been run.
-    :param answer_started: whether the caller has got a part of the answer.
-    :param state: what is known of the last attempt.
-    :param started_at: time since boot at which the last attempt began.
+    :param replayable: whether the body can be sent again.
+    :param may_have_run: whether an attempt may have run.
+    :param answer_started: whether the caller has received part of the answer.
+    :param state: known state of the last attempt.
+    :param started_at: time since boot at which the last attempt started.
     """
 
     service: str
@@ -59,10 +59,10 @@
 
 
 class ServiceDispatcher:
-    """Finds upstreams for calls to plain services.
+    """Selects upstreams for calls to plain services.
 
-    :param health: knows which upstreams fail.
-    :param budget: bounds the retries of each account.
+    :param health: tracks which upstreams fail.
+    :param budget: limits the retries of each account.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         budget: RetryBudget,
         clock: Clock,
     ) -> None:
-        """Begin without services."""
+        """Create without services."""
         self._admission = admission
         self._router = router
         self._health = health
@@ -83,13 +83,13 @@
         self.usage: UsageCounter | None = None
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the services of a manifest that came into force."""
+        """Apply the services of a new manifest."""
         self._manifest = manifest
 
     def find(self, name: str) -> Service:
         """Find a service.
 
-        :raises RefusedError: if the manifest has none of that name.
+        :raises RefusedError: if the manifest has no service of that name.
         """
         service = self._manifest.services.get(name)
         if service is None:
@@ -104,7 +104,7 @@
         return service
 
     def is_repeatable(self, call: ServiceCall) -> bool:
-        """Tell whether a call may be run twice."""
+        """Check whether a call may run twice."""
         return call.method in self.find(call.service).repeatable_methods
 
     async def acquire(self, call: ServiceCall) -> Grant:
@@ -136,12 +136,12 @@
             self._admission.release(grant)
 
     def release(self, grant: Grant) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self._health.on_end(grant.upstream.name)
         self._admission.release(grant)
 
     def on_answered(self, call: ServiceCall, grant: Grant) -> None:
-        """Learn that a call got a whole answer."""
+        """Record that a call received a complete answer."""
         call.state = AttemptState.complete
         if self.usage is not None:
             duration = self._clock.elapsed() - call.started_at
@@ -157,9 +157,9 @@
         self._health.on_success(grant.upstream.name)
 
     def on_failed(self, call: ServiceCall, grant: Grant) -> None:
-        """Learn that an attempt failed; return if it is to be repeated.
+        """Record a failed attempt; return if the call should be retried.
 
-        :raises RefusedError: if the call must not or can't be repeated.
+        :raises RefusedError: if the call must not or can't be retried.
         """
         peer = grant.upstream.name
         connected = call.state not in NEVER_RAN
@@ -170,7 +170,7 @@
             raise RefusedError(_refuse_failed(call, peer))
 
     def on_unhealthy(self, grant: Grant) -> None:
-        """Learn that an upstream answered that it is not well."""
+        """Record an answer in which the upstream reported itself unhealthy."""
         self._health.on_failure(grant.upstream.name, connected=True)
 
     def _begin(self, call: ServiceCall, name: str) -> None:
@@ -208,7 +208,7 @@
         wait = self._health.measure_wait(names)
         return Refusal(
             RefusalCode.upstream_failed,
-            'No upstream of the service can be tried now.',
+            'No upstream of the service is currently available.',
             not_run=not call.may_have_run,
             retry_after=max(wait, MIN_RETRY_AFTER),
             step='route',
@@ -216,10 +216,10 @@
 
 
 def adjust_not_run(refusal: Refusal, call: ServiceCall) -> Refusal:
-    """Make a refusal of one attempt true for the whole call.
+    """Adjust a refusal of one attempt to the whole call.
 
-    An earlier attempt may have run, which whoever refuses the next one
-    doesn't know.
+    An earlier attempt may have run, which the component that refuses the next
+    one does not know.
     """
     return replace(refusal, not_run=refusal.not_run and not call.may_have_run)
 
@@ -230,7 +230,7 @@
         code = RefusalCode.outcome_unknown
     return Refusal(
         code,
-        'The service gave no whole answer.',
+        'The service did not return a complete answer.',
         not_run=not call.may_have_run,
         step='call service',
         peer=peer,
