--- a/quetzalcourse/tests/coordination/requests/generation_tests.py
+++ b/quetzalcourse/tests/coordination/requests/generation_tests.py
@@ -1,4 +1,4 @@
-"""Attempts, resumption and interruption of requests for tokens."""
+"""Tests of attempts, resumption and interruption of generation requests."""
 
 from __future__ import annotations
 
@@ -49,13 +49,13 @@
 
 
 class GenerationHarness:
-    """A generation over scripted engines.
+    """Generation runner over scripted engines.
 
-    :param scripts: what the attempts meet, one after another.
+    :param scripts: behaviour of each attempt, in order.
     """
 
     def __init__(self, *scripts: tuple[Step, ...], engines: int = 2) -> None:
-        """Build the parts around the engines."""
+        """Build the runner and its components."""
         self.clock = FakeClock()
         self.counters = Counters()
         self.engines = FakeEngines(list(scripts))
@@ -80,7 +80,7 @@
         self,
         traffic_class: TrafficClass = TrafficClass.human,
     ) -> GenerationRequest:
-        """Build a request that may take a minute."""
+        """Build a request with a deadline in one minute."""
         return GenerationRequest(
             'request',
             'readers',
@@ -92,7 +92,7 @@
         )
 
     async def run(self, request: GenerationRequest) -> list[str]:
-        """Collect the tokens; each offset must follow on the one before."""
+        """Collect the tokens and check that the offsets are contiguous."""
         tokens: list[str] = []
         async for chunk in self.generation.run(request):
             assert chunk.offset == len(tokens)
@@ -101,12 +101,12 @@
         return tokens
 
     def count_running(self) -> int:
-        """Count the slots that are held."""
+        """Return the number of held slots."""
         return sum(map(self.admission.running, ('engine-0', 'engine-1')))
 
 
 class RecordingAdmission(Admission):
-    """Admission that remembers its grants."""
+    """Admission that records its grants."""
 
     grants: list[Grant]
 
@@ -155,9 +155,9 @@
     scripts: list[tuple[Step, ...]],
     dropped: dict[str, int],
 ) -> None:
-    # Engines cut streams, send tokens again, leave some out and mix up
-    # answers. A caller would read a poem with lines missing, doubled, or
-    # out of another caller's poem.
+    # Engines cut streams, repeat tokens, omit some, and mix up answers. The
+    # caller must get no answer with parts missing, repeated, or taken from
+    # another caller's answer.
     harness = GenerationHarness(*scripts)
     assert await harness.run(harness.build_request()) == list(ANSWER)
     found = {
@@ -183,8 +183,8 @@
     scripts: list[tuple[Step, ...]],
     not_run: bool,
 ) -> None:
-    # A caller who reads "not run" sends the request again, and pays twice
-    # if an engine had run it after all.
+    # A caller that reads "not run" sends the request again, and pays twice if
+    # an engine did run it.
     harness = GenerationHarness(*scripts, engines=8)
     refusal = await expect_refusal(harness)
     assert refusal.code is RefusalCode.upstream_failed
@@ -212,8 +212,8 @@
 def test_any_script_ends_in_whole_answer_or_error(
     scripts: list[tuple[Step, ...]],
 ) -> None:
-    # Whatever engines do, a caller gets the whole answer or an error, and
-    # "not run" only if no engine ran anything.
+    # Whatever engines do, a caller gets the whole answer or an error, and "not
+    # run" only if no engine ran anything.
     async def run_script() -> None:
         harness = GenerationHarness(*scripts, engines=4)
         try:
@@ -229,8 +229,8 @@
 
 
 async def test_revoked_stream_resumes_at_last_token() -> None:
-    # Humans need the slot of a training stream. A trainer whose stream
-    # began again from the first token would lose what was generated.
+    # Human requests need the slot of a training stream. A stream that restarted
+    # at the first token would lose what was generated.
     harness = GenerationHarness((Piece(0, 2), 'stall'))
     request = harness.build_request(TrafficClass.training)
     task = asyncio.create_task(harness.run(request))
@@ -254,8 +254,8 @@
     humans: bool,
     moves: bool,
 ) -> None:
-    # An upstream gives notice. A long training stream that stayed would be
-    # cut; a human's short one would only be slowed down by moving.
+    # An upstream announces that it leaves. A long training stream that stayed
+    # would be cut; a human's short stream would only be delayed by moving.
     harness = GenerationHarness((Piece(0, 1), 'stall'))
     task = asyncio.create_task(
         harness.run(harness.build_request(traffic_class))
@@ -270,8 +270,8 @@
 
 
 async def test_disconnected_caller_frees_slot_and_engine() -> None:
-    # A reader closes the page in mid-answer. An engine that went on would
-    # keep a slot from the next reader.
+    # A caller disconnects in mid-answer. An engine that continued would keep
+    # the slot from the next caller.
     harness = GenerationHarness((Piece(0, 2), 'stall'))
     task = asyncio.create_task(harness.run(harness.build_request()))
     await settle()
@@ -286,8 +286,8 @@
 
 
 async def test_stalled_stream_is_refused_at_deadline() -> None:
-    # An engine hangs. The caller learns at the deadline that the answer is
-    # not whole, and that the request did run.
+    # An engine hangs. At the deadline the caller must be told that the answer
+    # is incomplete, and that the request did run.
     harness = GenerationHarness((Piece(0, 2), 'stall'))
     task = asyncio.create_task(expect_refusal(harness))
     await harness.clock.advance(timedelta(seconds=61))
@@ -297,8 +297,8 @@
 
 
 async def test_request_without_enough_time_is_not_sent() -> None:
-    # More is asked for than the engines can do. Every request is granted
-    # its slot just before its deadline; sent, all would be cut by it.
+    # The engines are overloaded, and every request is granted its slot just
+    # before its deadline; if sent, all would be cut off by it.
     harness = GenerationHarness(engines=1)
     original_acquire = harness.admission.acquire
 
@@ -322,8 +322,9 @@
 
 
 async def test_chunk_of_wrong_version_is_not_delivered() -> None:
-    # Weights are swapped in mid-stream under a caller who asked for one
-    # version. The tokens of the other would bear a false name.
+    # Weights are swapped in mid-stream although the caller requested one
+    # version. Tokens of the other version would be reported under the wrong
+    # one.
     harness = GenerationHarness((Piece(0, 2), Piece(2, 4, weight_version=2)))
     request = replace(harness.build_request(), weight_version=1)
     assert await harness.run(request) == list(ANSWER)
@@ -331,8 +332,8 @@
 
 
 async def test_retries_stay_within_budget() -> None:
-    # Every engine breaks every stream. Without a budget each request would
-    # come four times, just when capacity is least.
+    # Every engine breaks every stream. Without a budget each request would be
+    # sent four times, just when capacity is lowest.
     harness = GenerationHarness(*[(BROKEN,)] * 400, engines=2)
     for _ in range(100):
         with pytest.raises(RefusedError):
--- a/quetzalcourse/tests/coordination/requests/idempotency_tests.py
+++ b/quetzalcourse/tests/coordination/requests/idempotency_tests.py
@@ -1,4 +1,4 @@
-"""A keyed call is sent once, whatever the store does."""
+"""Tests that a call with an idempotency key is sent at most once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 async def expect_refusal(
     claims: IdempotencyStore, call: KeyedCall
 ) -> tuple[RefusalCode, bool]:
-    """Claim a key that can't be claimed."""
+    """Claim a key and return the expected refusal."""
     with pytest.raises(RefusedError) as raised:
         await claims.claim(call)
     return raised.value.refusal.code, raised.value.refusal.not_run
@@ -49,7 +49,7 @@
     faults: list[str], taken: bool
 ) -> None:
     # The store loses an answer after the write took effect. A daemon that
-    # believed its claim failed would refuse a call that nobody else can
+    # treated its claim as failed would refuse a call that no other daemon can
     # make any more.
     store = FakeStore()
     store.write_faults.extend(faults)
@@ -80,8 +80,8 @@
     state: str,
     expected: tuple[RefusalCode, bool] | None,
 ) -> None:
-    # A caller whose connection broke asks again with the same key, through
-    # another daemon. It has to learn what became of the first call.
+    # A caller whose connection broke retries with the same key through another
+    # daemon, which must report the outcome of the first call.
     store = FakeStore()
     first = IdempotencyStore(store)
     claim = await first.claim(CALL)
@@ -97,8 +97,8 @@
 
 
 async def test_unreadable_claim_is_refused() -> None:
-    # The store goes down between the claim and its reading back. Sending
-    # without knowing could run the call a second time.
+    # The store goes down after the claim and before it is read back. Sending
+    # the call without knowing could run it a second time.
     store = FakeStore()
     claims = IdempotencyStore(store)
     store.write_faults.append('lost_after')
@@ -128,9 +128,9 @@
     uses: list[tuple[list[str], str]],
     together: bool,
 ) -> None:
-    # Many daemons get the same call, one after another or at once, while
-    # the store fails in every way and daemons die in mid-call. A poem would
-    # be scored twice if two of them sent it.
+    # Several daemons get the same call, sequentially or concurrently, while the
+    # store fails in every way and daemons die in mid-call. If two of them sent
+    # the call, its effect would happen twice.
     runs: list[str] = []
 
     async def use(store: FakeStore, name: str, outcome: str) -> None:
