--- a/quetzalcourse/coordination/leases/leader_elector.py
+++ b/quetzalcourse/coordination/leases/leader_elector.py
@@ -19,10 +19,10 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
 
-RENEWALS = 4
-CANDIDATES = 3
-POLLS = 10
-SPARE_POLL = timedelta(seconds=2)
+RENEWALS_PER_TERM = 4
+ACTIVE_CANDIDATES = 3
+POLLS_PER_TERM = 10
+STANDBY_POLL_PER_DAEMON = timedelta(seconds=2)
 log = get_log('lease')
 
 
@@ -33,14 +33,14 @@
     :param live: daemons that may contend for it.
     """
 
-    mine = rendezvous_weight(key, own)
-    return sum(rendezvous_weight(key, member) < mine for member in live)
+    own_weight = rendezvous_weight(key, own)
+    return sum(rendezvous_weight(key, member) < own_weight for member in live)
 
 
 def choose_candidates(key: str, live: list[Member]) -> list[Member]:
     """List the contenders that watch a lease closely."""
     ranked = sorted(live, key=lambda member: rendezvous_weight(key, member))
-    return ranked[:CANDIDATES]
+    return ranked[:ACTIVE_CANDIDATES]
 
 
 def rendezvous_weight(key: str, member: Member) -> int:
@@ -75,7 +75,7 @@
         self._counters = counters
         self._data_centre = data_centre
         self._state = LeaseState.nobody
-        self._retired = False
+        self._stopped = False
         self._listeners: list[Callable[[], None]] = []
 
     def on_held(self, listener: Callable[[], None]) -> None:
@@ -85,29 +85,34 @@
     async def run(self) -> None:
         """Pursue the lease until the task is cancelled."""
         while True:
-            if not self._retired:
+            if not self._stopped:
                 await self.lease.acquire_or_renew()
             self.publish()
-            await self._clock.sleep(self.find_pause())
+            await self._clock.sleep(self.get_poll_interval())
 
     def stop_renewing(self) -> None:
         """Pursue the lease no more; a held one runs out or is released."""
-        self._retired = True
+        self._stopped = True
 
     async def release(self) -> None:
         """Give the lease up, so that the next holder starts at once."""
         await self.lease.release()
         self.publish()
 
-    def find_pause(self) -> timedelta:
+    def get_poll_interval(self) -> timedelta:
         """Tell how long to wait before the lease is looked at again."""
         terms = self.lease.terms
         if self.lease.held:
-            return terms.term / RENEWALS
+            return terms.term / RENEWALS_PER_TERM
         live = self._members.list_live(self._data_centre)
-        if rank_member(self.lease.key, self._members.own, live) < CANDIDATES:
-            return terms.term / POLLS
-        return max(terms.term / POLLS, SPARE_POLL * len(live))
+        if (
+            rank_member(self.lease.key, self._members.own, live)
+            < ACTIVE_CANDIDATES
+        ):
+            return terms.term / POLLS_PER_TERM
+        return max(
+            terms.term / POLLS_PER_TERM, STANDBY_POLL_PER_DAEMON * len(live)
+        )
 
     def publish(self) -> None:
         """Show in the metrics who holds the lease."""
@@ -126,15 +131,15 @@
 
     def _on_change(self) -> None:
         status = self.lease.describe()
-        line = log.bind(lease=status.lease, token=status.token)
+        lease_log = log.bind(lease=status.lease, token=status.token)
         if status.state is LeaseState.nobody:
-            line.warning(
+            lease_log.warning(
                 'No daemon holds the lease.',
                 silent_seconds=status.silent_seconds,
             )
         elif status.state is LeaseState.held:
-            line.info('Lease is held here.')
+            lease_log.info('Lease is held here.')
             for listener in self._listeners:
                 listener()
         else:
-            line.info('Lease is held elsewhere.', holder=status.holder)
+            lease_log.info('Lease is held elsewhere.', holder=status.holder)
--- a/quetzalcourse/coordination/leases/lease.py
+++ b/quetzalcourse/coordination/leases/lease.py
@@ -31,9 +31,9 @@
     from quetzalcourse.coordination.ports import Table
     from quetzalcourse.state.clock import Clock
 
-NEVER = -1
-RELEASE_TRIES = 3
-_NUMBERS = itertools.count(1)
+UNKNOWN_VERSION = -1
+MAX_RELEASE_ATTEMPTS = 3
+_CONTENDER_NUMBERS = itertools.count(1)
 
 
 def encode_record(record: LeaseRecord) -> bytes:
@@ -51,7 +51,7 @@
     return False
 
 
-def read_token(fence: Row | None) -> int:
+def decode_token(fence: Row | None) -> int:
     """Tell the highest token that a fence row has seen."""
     if fence is None:
         return 0
@@ -68,8 +68,8 @@
     def __init__(self, clock: Clock) -> None:
         """Begin without an observation."""
         self._clock = clock
-        self._version = NEVER
-        self._since = clock.elapsed()
+        self._version = UNKNOWN_VERSION
+        self._unchanged_since = clock.elapsed()
 
     def observe(self, version: int) -> timedelta:
         """Tell how long a row has stood at a version.
@@ -83,8 +83,8 @@
         now = self._clock.elapsed()
         if version != self._version:
             self._version = version
-            self._since = now
-        return now - self._since
+            self._unchanged_since = now
+        return now - self._unchanged_since
 
 
 class Lease:
@@ -117,30 +117,33 @@
         self._clock = clock
         # Two contenders of one process would otherwise take each other's
         # row for their own, and both would hold the lease.
-        self._name = f'{holder}:{next(_NUMBERS)}'
-        self._watch = RowObserver(clock)
-        self._claimed = 0
-        self._highest = 0
-        self._row: Row | None = None
-        self._fence_version = NEVER
-        self._ends: timedelta | None = None
-        self._seen = LeaseRecord('', 0, 0)
-        self._lapsed = False
-        self._answered_at = clock.elapsed()
-        self._taken_at = clock.elapsed()
+        self._name = f'{holder}:{next(_CONTENDER_NUMBERS)}'
+        self._row_observer = RowObserver(clock)
+        self._claimed_token = 0
+        self._highest_token = 0
+        self._confirmed_row: Row | None = None
+        self._fence_version = UNKNOWN_VERSION
+        self._expires_at: timedelta | None = None
+        self._observed = LeaseRecord('', 0, 0)
+        self._holder_expired = False
+        self._store_answered_at = clock.elapsed()
+        self._acquired_at = clock.elapsed()
         self.is_predecessor: Callable[[str], bool] = is_never_predecessor
 
     @property
     def held(self) -> bool:
         """Whether the lease is held at this instant."""
-        return self._ends is not None and self._clock.elapsed() < self._ends
+        return (
+            self._expires_at is not None
+            and self._clock.elapsed() < self._expires_at
+        )
 
     @property
     def held_for(self) -> timedelta:
         """How long ago this contender took the lease that it holds."""
         if not self.held:
             return timedelta(0)
-        return self._clock.elapsed() - self._taken_at
+        return self._clock.elapsed() - self._acquired_at
 
     @property
     def may_send(self) -> bool:
@@ -149,16 +152,18 @@
         It stops one order timeout before the lease ends, so that a receiver
         that ignores tokens has acted or given up when the next holder sends.
         """
-        if self._ends is None:
+        if self._expires_at is None:
             return False
-        return self._clock.elapsed() < self._ends - self.terms.order_timeout
+        return (
+            self._clock.elapsed() < self._expires_at - self.terms.order_timeout
+        )
 
     @property
     def remaining(self) -> timedelta:
         """How long orders may still go out."""
-        if self._ends is None:
+        if self._expires_at is None:
             return timedelta(0)
-        last = self._ends - self.terms.order_timeout
+        last = self._expires_at - self.terms.order_timeout
         return max(timedelta(0), last - self._clock.elapsed())
 
     def fence_condition(self) -> Condition:
@@ -171,17 +176,21 @@
 
     def describe(self) -> LeaseStatus:
         """Tell who holds the lease, as far as this contender knows."""
-        silent = self._clock.elapsed() - self._answered_at
+        silent = self._clock.elapsed() - self._store_answered_at
         state = LeaseState.other
         if self.held:
             state = LeaseState.held
-        elif silent > self.terms.wait or self._lapsed or not self._seen.holder:
+        elif (
+            silent > self.terms.wait
+            or self._holder_expired
+            or not self._observed.holder
+        ):
             state = LeaseState.nobody
         return LeaseStatus(
             lease=self.key,
             state=state,
-            holder=self._seen.holder,
-            token=self._seen.token,
+            holder=self._observed.holder,
+            token=self._observed.token,
             silent_seconds=silent.total_seconds(),
         )
 
@@ -190,17 +199,17 @@
 
         :returns: whether the lease is held afterwards.
         """
-        if self.held and self._row is not None:
-            return await self._renew(self._row)
+        if self.held and self._confirmed_row is not None:
+            return await self._renew(self._confirmed_row)
         answer = await self._table.read(self.key)
         if isinstance(answer, Err):
             return self.held
         row = answer.ok_value
-        self._note(row)
-        if row is not None and self._owns(self._seen):
+        self._observe(row)
+        if row is not None and self._owns(self._observed):
             return await self._renew(row)
-        self._ends = None
-        return await self._contend(row)
+        self._expires_at = None
+        return await self._try_acquire(row)
 
     async def release(self) -> None:
         """Give the lease up, so that the next holder need not wait.
@@ -208,14 +217,14 @@
         Orders under way must have been answered or have timed out before.
         """
         was_held = self.held
-        token = self._claimed
+        token = self._claimed_token
         # The claim goes first: the answer to a renewal that is still under
         # way would otherwise bring the lease back after its release.
-        self._claimed = 0
-        self._ends = None
-        self._row = None
-        self._fence_version = NEVER
-        for _ in range(RELEASE_TRIES):
+        self._claimed_token = 0
+        self._expires_at = None
+        self._confirmed_row = None
+        self._fence_version = UNKNOWN_VERSION
+        for _ in range(MAX_RELEASE_ATTEMPTS):
             if not was_held or await self._try_release(token):
                 break
 
@@ -240,22 +249,22 @@
         )
         return commit.is_ok() and commit.unwrap().applied
 
-    def _note(self, row: Row | None) -> None:
-        self._answered_at = self._clock.elapsed()
-        self._seen = decode_record(row) if row else LeaseRecord('', 0, 0)
-        self._highest = max(self._highest, self._seen.token)
-        waited = self._watch.observe(row.version if row else ABSENT)
+    def _observe(self, row: Row | None) -> None:
+        self._store_answered_at = self._clock.elapsed()
+        self._observed = decode_record(row) if row else LeaseRecord('', 0, 0)
+        self._highest_token = max(self._highest_token, self._observed.token)
+        unchanged = self._row_observer.observe(row.version if row else ABSENT)
         # What ran on this VM before is certainly over, and its successor
         # need not wait for it.
-        succeeds = self.is_predecessor(self._seen.holder)
-        self._lapsed = succeeds or waited >= self.terms.wait
+        is_successor = self.is_predecessor(self._observed.holder)
+        self._holder_expired = is_successor or unchanged >= self.terms.wait
 
     def _owns(self, record: LeaseRecord) -> bool:
-        own = (self._name, self._claimed)
+        own = (self._name, self._claimed_token)
         return (record.holder, record.token) == own
 
-    async def _contend(self, row: Row | None) -> bool:
-        if self._seen.holder and not self._lapsed:
+    async def _try_acquire(self, row: Row | None) -> bool:
+        if self._observed.holder and not self._holder_expired:
             return False
         answer = await self._table.read(self.fence_key)
         if isinstance(answer, Err):
@@ -263,28 +272,31 @@
         fence = answer.ok_value
         # A row that someone deleted says nothing of its holder, who still
         # counts on its term; only a lease without a fence was never held.
-        if row is None and fence is not None and not self._lapsed:
+        if row is None and fence is not None and not self._holder_expired:
             return False
-        self._highest = max(self._highest, read_token(fence))
-        return await self._take(row, fence)
+        self._highest_token = max(self._highest_token, decode_token(fence))
+        return await self._write_claim(row, fence)
 
-    async def _take(self, row: Row | None, fence: Row | None) -> bool:
+    async def _write_claim(self, row: Row | None, fence: Row | None) -> bool:
         # The claim is kept before it is sent: with its answer lost, only
         # the token in the row tells that the lease is this contender's.
-        self._claimed = self._highest + 1
-        self._taken_at = self._clock.elapsed()
-        self._fence_version = NEVER
-        taken = LeaseRecord(self._name, self._claimed, 0)
+        self._claimed_token = self._highest_token + 1
+        self._acquired_at = self._clock.elapsed()
+        self._fence_version = UNKNOWN_VERSION
+        claim = LeaseRecord(self._name, self._claimed_token, 0)
         return await self._write(
             row,
-            taken,
+            claim,
             Transaction(
-                (_expect(self.key, row), _expect(self.fence_key, fence)),
                 (
-                    Write(self.key, encode_record(taken)),
+                    _expect_version(self.key, row),
+                    _expect_version(self.fence_key, fence),
+                ),
+                (
+                    Write(self.key, encode_record(claim)),
                     Write(
                         self.fence_key,
-                        msgspec.json.encode(FenceRecord(self._claimed)),
+                        msgspec.json.encode(FenceRecord(self._claimed_token)),
                     ),
                 ),
             ),
@@ -297,7 +309,7 @@
             row,
             renewed,
             Transaction(
-                (_expect(self.key, row),),
+                (_expect_version(self.key, row),),
                 (Write(self.key, encode_record(renewed)),),
             ),
         )
@@ -312,56 +324,58 @@
         # applied it at once and a contender may have seen it at once.
         sent_at = self._clock.elapsed()
         answer = await self._table.transact(transaction)
-        if record.token != self._claimed:
+        if record.token != self._claimed_token:
             return False
         if isinstance(answer, Err):
             if answer.err_value.kind is FaultKind.unanswered:
-                self._row = None
+                self._confirmed_row = None
             return self.held
         if not answer.ok_value.applied:
             self._on_conflict(answer.ok_value.conflicts)
             return self.held
         version = answer.ok_value.version
         self._on_written(row, record, version, sent_at + self.terms.term)
-        if self._fence_version == NEVER:
-            await self._learn_fence()
+        if self._fence_version == UNKNOWN_VERSION:
+            await self._read_fence_version()
         return self.held
 
     def _on_conflict(self, conflicts: tuple[Row, ...]) -> None:
         # A conflict confirms nothing, so it never extends the term; it may
         # be this contender's own write whose answer was lost.
-        self._row = None
+        self._confirmed_row = None
         for row in conflicts:
             if row.key == self.key and row.content:
                 if not self._owns(decode_record(row)):
-                    self._ends = None
+                    self._expires_at = None
 
     def _on_written(
         self,
         row: Row | None,
         record: LeaseRecord,
         version: int,
-        ends: timedelta,
+        expires_at: timedelta,
     ) -> None:
         self.token = record.token
-        self._ends = ends
-        self._seen = record
-        self._answered_at = self._clock.elapsed()
+        self._expires_at = expires_at
+        self._observed = record
+        self._store_answered_at = self._clock.elapsed()
         # The first version of a row is the table's to choose; it may go on
         # from that of a row deleted before.
-        self._row = None
+        self._confirmed_row = None
         if row is not None:
             content = encode_record(record)
-            self._row = Row(self.key, content, version or row.version + 1)
+            self._confirmed_row = Row(
+                self.key, content, version or row.version + 1
+            )
 
-    async def _learn_fence(self) -> None:
+    async def _read_fence_version(self) -> None:
         answer = await self._table.read(self.fence_key)
         if isinstance(answer, Err) or answer.ok_value is None:
             return
         fence = answer.ok_value
-        if read_token(fence) == self.token:
+        if decode_token(fence) == self.token:
             self._fence_version = fence.version
 
 
-def _expect(key: str, row: Row | None) -> Condition:
+def _expect_version(key: str, row: Row | None) -> Condition:
     return Condition(key, row.version if row else ABSENT)
--- a/quetzalcourse/tests/coordination/leases/lease_tests.py
+++ b/quetzalcourse/tests/coordination/leases/lease_tests.py
@@ -33,12 +33,12 @@
     timedelta(seconds=0.5),
 )
 SentOrder = tuple[float, int, int]
-TICK = 0.1
+TICK_SECONDS = 0.1
 ORDER_SECONDS = 2 * 0.5 / (1 + DRIFT)
 CONTENDERS = strategies.integers(0, 2)
 
 
-class Pair:
+class ContenderPair:
     """Two contenders, each with a clock of its own."""
 
     def __init__(
@@ -59,7 +59,7 @@
             clock.move(timedelta(seconds=seconds))
 
 
-async def commit_under(store: FakeStore, lease: Lease) -> bool:
+async def commit_under_lease(store: FakeStore, lease: Lease) -> bool:
     """Write a row on the condition that a lease still holds."""
     answer = await store.transact(
         Transaction((lease.fence_condition(),), (Write('work', b''),))
@@ -67,22 +67,24 @@
     return answer.unwrap().applied
 
 
-async def let_run() -> None:
+async def run_to_next_gate() -> None:
     """Let a contender run from one gate to the next."""
     for _ in range(4):
         await asyncio.sleep(0)
 
 
-async def test_unanswered_renewal_extends_nothing_and_breaks_nothing() -> None:
+async def test_lost_renewal_answer_neither_extends_term_nor_fails_commits() -> (
+    None
+):
     # The store applies a renewal and its answer is lost. A holder that
     # counted it would outlast its term; one that kept the old version would
     # find its commits refused, and its renewals too, until the term ran out.
-    pair = Pair()
+    pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     pair.move(8)
     pair.store.write_faults.append('lost_after')
     assert await pair.first.acquire_or_renew()
-    assert await commit_under(pair.store, pair.first)
+    assert await commit_under_lease(pair.store, pair.first)
     pair.move(1)
     assert await pair.first.acquire_or_renew()
     pair.move(9)
@@ -93,23 +95,23 @@
     assert not pair.first.held
 
 
-async def test_taking_with_lost_answer_is_found_in_the_row() -> None:
+async def test_acquisition_with_lost_answer_is_recognised_in_row() -> None:
     # The first write of a new holder takes effect unheard. If it did not
     # know its own claim again, everyone would wait for a holder that is not.
-    pair = Pair()
+    pair = ContenderPair()
     pair.store.write_faults.append('lost_after')
     assert not await pair.first.acquire_or_renew()
     assert await pair.first.acquire_or_renew()
     assert pair.first.token == 1
-    assert await commit_under(pair.store, pair.first)
+    assert await commit_under_lease(pair.store, pair.first)
 
 
 @pytest.mark.parametrize('fault', ['', 'lost_after', 'lost_before'])
-async def test_release_lets_the_next_start_at_once(fault: str) -> None:
+async def test_release_lets_next_holder_start_at_once(fault: str) -> None:
     # A daemon stops in good order just after a renewal whose answer was
     # lost, and the release's own answer may be lost as well. Without a
     # second try, orders would stand still for a whole term.
-    pair = Pair()
+    pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     pair.store.write_faults.append('lost_after')
     await pair.first.acquire_or_renew()
@@ -121,10 +123,10 @@
     assert not await pair.first.acquire_or_renew()
 
 
-async def test_same_name_after_restart_waits_like_any_other() -> None:
+async def test_contender_with_name_of_holder_waits_for_the_term() -> None:
     # A restarted daemon, or a second task of one daemon, contends under a
     # name that the row already bears, while the first may still be sending.
-    pair = Pair(('same', 'same'))
+    pair = ContenderPair(('same', 'same'))
     assert await pair.first.acquire_or_renew()
     assert not await pair.second.acquire_or_renew()
     pair.move(11.9)
@@ -132,27 +134,27 @@
     pair.move(0.2)
     assert await pair.second.acquire_or_renew()
     assert pair.second.token == 2
-    assert not await commit_under(pair.store, pair.first)
+    assert not await commit_under_lease(pair.store, pair.first)
 
 
-async def test_deleted_row_neither_ends_a_wait_nor_resets_tokens() -> None:
+async def test_deleted_row_neither_shortens_wait_nor_resets_tokens() -> None:
     # An operator deletes the row while its holder is at work. A contender
     # that took an absent row as free would send beside the holder, and with
     # a token that receivers have already seen.
-    pair = Pair()
+    pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     await pair.store.transact(Transaction((), (Write(KEY, None),)))
     assert not await pair.second.acquire_or_renew()
     pair.move(12)
     assert await pair.second.acquire_or_renew()
     assert pair.second.token == 2
-    assert await commit_under(pair.store, pair.second)
+    assert await commit_under_lease(pair.store, pair.second)
 
 
-async def test_store_down_past_the_term_leaves_no_holder() -> None:
+async def test_store_outage_past_term_leaves_no_holder() -> None:
     # The store goes down. Whoever looks at any daemon must see that nobody
     # gives orders, and the holder itself must stop.
-    pair = Pair()
+    pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     assert not await pair.second.acquire_or_renew()
     assert pair.first.describe().state is LeaseState.held
@@ -168,7 +170,7 @@
     assert not await pair.first.acquire_or_renew()
 
 
-async def test_term_counts_from_before_the_renewal_was_sent() -> None:
+async def test_term_starts_before_the_renewal_is_sent() -> None:
     # The store applies a renewal at once and answers four seconds later.
     # Contenders saw it at once, so a holder that counted from the answer
     # would still send when the next one begins.
@@ -177,7 +179,7 @@
     lease = Lease(table, clock, KEY, 'daemon', TERMS)
     task = asyncio.create_task(lease.acquire_or_renew())
     for number in range(8):
-        await let_run()
+        await run_to_next_gate()
         if number == 5:
             clock.move(timedelta(seconds=4))
         table.open()
@@ -188,7 +190,7 @@
     assert not lease.held
 
 
-async def test_answer_to_a_renewal_does_not_undo_a_release() -> None:
+async def test_late_renewal_answer_does_not_undo_release() -> None:
     # A daemon stops while its renewal is under way. Were the lease held
     # again once the answer comes, it would send beside the next holder.
     store = FakeStore()
@@ -197,16 +199,16 @@
     for _ in range(2):
         task = asyncio.create_task(lease.acquire_or_renew())
         for _ in range(8):
-            await let_run()
+            await run_to_next_gate()
             table.open()
         assert await task
     renewal = asyncio.create_task(lease.acquire_or_renew())
-    await let_run()
+    await run_to_next_gate()
     table.open()
-    await let_run()
+    await run_to_next_gate()
     release = asyncio.create_task(lease.release())
     for _ in range(8):
-        await let_run()
+        await run_to_next_gate()
         table.open()
     await release
     assert not await renewal
@@ -216,10 +218,10 @@
     ).acquire_or_renew()
 
 
-async def test_early_stop_leaves_orders_time_to_end() -> None:
+async def test_holder_stops_sending_one_order_timeout_before_expiry() -> None:
     # An order to a receiver that ignores tokens is still on its way when
     # the term ends, and takes effect after the next holder's first one.
-    pair = Pair(terms=DRIFTING)
+    pair = ContenderPair(terms=DRIFTING)
     assert await pair.first.acquire_or_renew()
     assert not await pair.second.acquire_or_renew()
     pair.move(9.4)
@@ -262,16 +264,16 @@
             pursuit = self.leases[index].acquire_or_renew()
             self.tasks[index] = self.loop.create_task(pursuit)
         for number in range(gates):
-            await let_run()
+            await run_to_next_gate()
             self.tables[index].open(lose and number == gates - 1)
-        await let_run()
+        await run_to_next_gate()
 
     @rule(
         index=CONTENDERS,
         gates=strategies.integers(0, 6),
         lose=strategies.booleans(),
     )
-    def go_on(self, index: int, gates: int, lose: bool) -> None:
+    def run_through_gates(self, index: int, gates: int, lose: bool) -> None:
         self.loop.run_until_complete(self.run_one(index, gates, lose))
 
     @rule(index=CONTENDERS)
@@ -289,8 +291,8 @@
         gates=strategies.integers(1, 4),
         seconds=strategies.sampled_from([3.0, 9.0]),
     )
-    def be_held_up(self, index: int, gates: int, seconds: float) -> None:
-        self.go_on(index, gates, lose=False)
+    def stall(self, index: int, gates: int, seconds: float) -> None:
+        self.run_through_gates(index, gates, lose=False)
         for other in range(len(RATES)):
             if other != index:
                 self.finish(other)
@@ -321,7 +323,7 @@
         self.tokens.append(token)
 
     @invariant()
-    def at_most_one_holds_the_lease(self) -> None:
+    def at_most_one_lease_is_held(self) -> None:
         assert sum(lease.held for lease in self.leases) <= 1
         assert self.tokens == sorted(self.tokens)
 
@@ -329,14 +331,14 @@
         for task in self.tasks:
             if task is not None:
                 task.cancel()
-        self.loop.run_until_complete(let_run())
+        self.loop.run_until_complete(run_to_next_gate())
         self.loop.close()
 
 
 LeaseMachine.TestCase.settings = settings(
     derandomize=True, max_examples=40, stateful_step_count=20, deadline=None
 )
-test_never_two_holders = LeaseMachine.TestCase
+test_at_most_one_holder_at_a_time = LeaseMachine.TestCase
 
 
 class Sender:
@@ -373,10 +375,10 @@
         asyncio.create_task(sender.contend(releases)) for sender in senders
     ]
     for tick in range(2000):
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(TICK_SECONDS)
         assert sum(sender.lease.held for sender in senders) <= 1
         sent.extend(
-            (tick * TICK, index, sender.lease.token)
+            (tick * TICK_SECONDS, index, sender.lease.token)
             for index, sender in enumerate(senders)
             if sender.lease.may_send
         )
@@ -399,4 +401,4 @@
     assert len(owners) == len(set(tokens))
     for before, after in pairwise(sent):
         if before[1] != after[1] and not releases:
-            assert after[0] - before[0] >= ORDER_SECONDS - TICK
+            assert after[0] - before[0] >= ORDER_SECONDS - TICK_SECONDS
