--- a/quetzalcourse/coordination/requests/attempt_cleanup.py
+++ b/quetzalcourse/coordination/requests/attempt_cleanup.py
@@ -1,4 +1,4 @@
-"""Ends of attempts: the engine stops before its slot is given back."""
+"""Cleanup of ended attempts: the engine stops before its slot is released."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 
 
 class AttemptCleanup:
-    """Gives slots back once nothing runs on them any more.
+    """Releases slots once nothing runs on them any more.
 
     :param admission: takes the slots back.
     :param engines: connections to the engines.
     """
 
     def __init__(self, admission: Admission, engines: Engines) -> None:
-        """Begin without an attempt to close."""
+        """Create without pending cancellations."""
         self._admission = admission
         self._engines = engines
         self._tasks: set[asyncio.Task[None]] = set()
 
     def close(
-        self, grant: Grant, work: RequestProgress, state: AttemptState
+        self, grant: Grant, progress: RequestProgress, state: AttemptState
     ) -> None:
-        """Close an attempt without waiting for the engine.
+        """Clean up an attempt without waiting for the engine.
 
-        :param state: what is known of the attempt.
+        :param state: known state of the attempt.
         """
-        generated = work.count_fresh()
+        generated = progress.count_new_tokens()
         if state in NEVER_RAN or state is AttemptState.complete:
             self._admission.release(grant, generated)
             return
-        closing = self._cancel(grant, work.attempt_id, generated)
-        task = asyncio.get_running_loop().create_task(closing)
+        cancellation = self._cancel(grant, progress.attempt_id, generated)
+        task = asyncio.get_running_loop().create_task(cancellation)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Wait until the last cancellations have been sent."""
+        """Wait until all pending cancellations have been sent."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _cancel(
@@ -55,8 +55,8 @@
         attempt_id: str,
         generated: int,
     ) -> None:
-        # The engine runs the request until it is told to stop. Were the
-        # slot released before, the next request would queue inside it.
+        # The engine runs the request until it is told to stop. If the slot were
+        # released earlier, the next request would queue inside the engine.
         try:
             await self._engines.cancel(grant.upstream, attempt_id)
         finally:
--- a/quetzalcourse/coordination/requests/request_progress.py
+++ b/quetzalcourse/coordination/requests/request_progress.py
@@ -1,4 +1,4 @@
-"""Progress of one request for tokens over its attempts."""
+"""Progress of one generation request over its attempts."""
 
 from __future__ import annotations
 
@@ -17,120 +17,122 @@
     from quetzalcourse.coordination.requests.attempt import AttemptError
     from quetzalcourse.state.generation import GenerationRequest
 
-MAX_FRUITLESS = 4
-SHORTEST_WAIT = timedelta(seconds=1)
+MAX_ATTEMPTS_WITHOUT_PROGRESS = 4
+MIN_RETRY_AFTER = timedelta(seconds=1)
 
 
-def name_attempt(request_id: str, number: int) -> str:
-    """Name an attempt towards the engine.
+def build_attempt_id(request_id: str, number: int) -> str:
+    """Build the id of an attempt that is sent to the engine.
 
-    A cancellation or a chunk that comes late from an earlier attempt must
-    not touch the one that goes on at the same engine.
+    A late cancellation or chunk of an earlier attempt must not affect the
+    attempt that continues on the same engine.
 
-    :param number: counts the attempts of the request from zero.
+    :param number: index of the attempt, starting from zero.
     """
     return f'{request_id}.{number}' if number else request_id
 
 
 class RequestProgress:
-    """A request for tokens and what its attempts came to.
+    """A generation request and the state of its attempts.
 
-    :param request: what to run.
-    :param assembly: the answer so far.
+    :param request: the request to run.
+    :param assembler: the answer so far.
     """
 
     def __init__(
-        self, request: GenerationRequest, assembly: ChunkAssembler
+        self, request: GenerationRequest, assembler: ChunkAssembler
     ) -> None:
-        """Begin before the first attempt."""
+        """Create before the first attempt."""
         self.request = request
-        self.assembly = assembly
+        self.assembler = assembler
         self.attempts = 0
         self.prompt_tokens = 0
         self.attempt_id = request.request_id
         self.failed: set[str] = set(request.avoid)
-        self._ran = False
-        self._fruitless = 0
-        self._length = 0
+        self._may_have_run = False
+        self._attempts_without_progress = 0
+        self._length_at_start = 0
 
     @property
-    def is_hopeless(self) -> bool:
-        """Whether too many attempts came to nothing."""
-        return self._fruitless >= MAX_FRUITLESS
+    def is_exhausted(self) -> bool:
+        """Whether too many attempts made no progress."""
+        return self._attempts_without_progress >= MAX_ATTEMPTS_WITHOUT_PROGRESS
 
     def begin(self) -> None:
-        """Begin an attempt under a new id towards the engine."""
-        self.attempt_id = name_attempt(self.request.request_id, self.attempts)
+        """Start an attempt under a new id."""
+        self.attempt_id = build_attempt_id(
+            self.request.request_id, self.attempts
+        )
         self.attempts += 1
-        self._length = len(self.assembly.tokens)
-        self.assembly.begin(self.attempt_id)
+        self._length_at_start = len(self.assembler.tokens)
+        self.assembler.begin(self.attempt_id)
 
-    def count_fresh(self) -> int:
-        """Count the tokens that the current attempt brought."""
-        return len(self.assembly.tokens) - self._length
+    def count_new_tokens(self) -> int:
+        """Count the tokens that the current attempt added."""
+        return len(self.assembler.tokens) - self._length_at_start
 
     def on_failed(self, error: AttemptError) -> bool:
-        """Learn how an attempt ended.
+        """Record how an attempt failed.
 
-        :returns: whether it brought the answer forward.
+        :returns: whether it added tokens to the answer.
         """
-        self._ran = self._ran or error.state not in NEVER_RAN
-        progressed = self.count_fresh() > 0
+        self._may_have_run = self._may_have_run or error.state not in NEVER_RAN
+        progressed = self.count_new_tokens() > 0
         if progressed:
-            self._fruitless = 0
+            self._attempts_without_progress = 0
             self.failed = set(self.request.avoid)
         else:
-            self._fruitless += 1
+            self._attempts_without_progress += 1
         self.failed.add(error.peer)
         return progressed
 
     def on_interrupted(self) -> None:
-        """Learn that this daemon stopped an attempt."""
-        self._ran = True
+        """Record that this daemon interrupted an attempt."""
+        self._may_have_run = True
 
     def adjust_not_run(self, error: RefusedError) -> RefusedError:
-        """Make a refusal of the next attempt true for the whole request.
+        """Adjust a refusal of the next attempt to the whole request.
 
-        An earlier attempt may have run, which whoever refuses the next one
-        doesn't know.
+        An earlier attempt may have run, which the component that refuses the
+        next one does not know.
         """
-        not_run = error.refusal.not_run and not self._ran
+        not_run = error.refusal.not_run and not self._may_have_run
         return RefusedError(replace(error.refusal, not_run=not_run))
 
-    def refuse_failed(self, wait: timedelta) -> RefusedError:
-        """Give up since the engines fail.
+    def refuse_upstreams_failed(self, wait: timedelta) -> RefusedError:
+        """Build the error for a request that no engine could finish.
 
-        :param wait: when an engine may be tried again.
+        :param wait: time until an engine may be tried again.
         """
         return self._refuse(
             RefusalCode.upstream_failed,
             'No engine could finish the request.',
             'generate',
-            max(wait, SHORTEST_WAIT),
+            max(wait, MIN_RETRY_AFTER),
         )
 
-    def build_deadline_refusal(self) -> RefusedError:
-        """Give up since the caller's deadline has passed."""
+    def refuse_deadline_passed(self) -> RefusedError:
+        """Build the error for a request whose deadline has passed."""
         return self._refuse(
             RefusalCode.deadline_exceeded,
-            'The answer was not whole before the deadline.',
+            'The answer was not complete before the deadline.',
             'generate',
         )
 
-    def refuse_too_late(self, needed: timedelta) -> RefusedError:
-        """Give up since too little is left of the caller's deadline.
+    def refuse_deadline_too_near(self, needed: timedelta) -> RefusedError:
+        """Build the error for a request with too little time left.
 
-        :param needed: time that the answer probably takes.
+        :param needed: estimated duration of the answer.
         """
         return self._refuse(
             RefusalCode.deadline_exceeded,
-            'Too little time was left for the answer.',
+            'Too little time was left before the deadline.',
             'generate',
-            max(needed, SHORTEST_WAIT),
+            max(needed, MIN_RETRY_AFTER),
         )
 
-    def refuse_route(self) -> RefusedError:
-        """Give up since no engine serves what was asked for."""
+    def refuse_unknown_model(self) -> RefusedError:
+        """Build the error for a model that no engine serves."""
         return self._refuse(
             RefusalCode.unknown_model,
             f'No engine serves the model {self.request.model!r}.',
@@ -148,7 +150,7 @@
             Refusal(
                 code,
                 message,
-                not_run=not self._ran,
+                not_run=not self._may_have_run,
                 retry_after=retry_after,
                 step=step,
             )
--- a/quetzalcourse/coordination/requests/service_dispatcher.py
+++ b/quetzalcourse/coordination/requests/service_dispatcher.py
@@ -1,4 +1,4 @@
-"""Plain services: which upstream runs a call, and whether it may repeat."""
+"""Dispatch of calls to plain services, with retries on other upstreams."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     from quetzalcourse.coordination.usage.usage_counter import UsageCounter
     from quetzalcourse.state.clock import Clock
 
-SERVICE_PATIENCE = timedelta(seconds=30)
-SHORTEST_WAIT = timedelta(seconds=1)
+DEFAULT_SERVICE_TIMEOUT = timedelta(seconds=30)
+MIN_RETRY_AFTER = timedelta(seconds=1)
 MAX_ATTEMPTS = 3
 MILLISECOND = timedelta(milliseconds=1)
 
@@ -40,11 +40,11 @@
     :param service: name of the service in the manifest.
     :param method: HTTP method.
     :param deadline: time since boot at which the caller stops waiting.
-    :param replayable: whether the body can be sent once more.
-    :param may_have_run: whether an attempt may have been run.
-    :param answer_started: whether the caller has got a part of the answer.
-    :param state: what is known of the last attempt.
-    :param began: time since boot at which the last attempt began.
+    :param replayable: whether the body can be sent again.
+    :param may_have_run: whether an attempt may have run.
+    :param answer_started: whether the caller has received part of the answer.
+    :param state: known state of the last attempt.
+    :param started_at: time since boot at which the last attempt started.
     """
 
     service: str
@@ -57,14 +57,14 @@
     state: AttemptState = AttemptState.not_sent
     attempts: int = 0
     failed: set[str] = field(default_factory=set)
-    began: timedelta = timedelta(0)
+    started_at: timedelta = timedelta(0)
 
 
 class ServiceDispatcher:
-    """Finds upstreams for calls to plain services.
+    """Selects upstreams for calls to plain services.
 
-    :param health: knows which upstreams fail.
-    :param budget: bounds the retries of each account.
+    :param health: tracks which upstreams fail.
+    :param budget: limits the retries of each account.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         budget: RetryBudget,
         clock: Clock,
     ) -> None:
-        """Begin without services."""
+        """Create without services."""
         self._admission = admission
         self._router = router
         self._health = health
@@ -85,13 +85,13 @@
         self.usage: UsageCounter | None = None
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the services of a manifest that came into force."""
+        """Apply the services of a new manifest."""
         self._manifest = manifest
 
     def find(self, name: str) -> Service:
         """Find a service.
 
-        :raises RefusedError: if the manifest has none of that name.
+        :raises RefusedError: if the manifest has no service of that name.
         """
         service = self._manifest.services.get(name)
         if service is None:
@@ -106,7 +106,7 @@
         return service
 
     def is_repeatable(self, call: ServiceCall) -> bool:
-        """Tell whether a call may be run twice."""
+        """Check whether a call may run twice."""
         return call.method in self.find(call.service).repeatable_methods
 
     async def acquire(self, call: ServiceCall) -> Grant:
@@ -117,15 +117,16 @@
         if not call.attempts:
             self._budget.earn(call.client_account)
         while True:
-            slot = SlotRequest(
+            slot_request = SlotRequest(
                 call.client_account,
                 TrafficClass.human,
                 self._rank(call),
-                call.deadline or self._clock.elapsed() + SERVICE_PATIENCE,
+                call.deadline
+                or self._clock.elapsed() + DEFAULT_SERVICE_TIMEOUT,
                 resumed=call.attempts > 0,
             )
             try:
-                grant = await self._admission.acquire(slot)
+                grant = await self._admission.acquire(slot_request)
             except RefusedError as error:
                 raise RefusedError(
                     adjust_not_run(error.refusal, call)
@@ -137,16 +138,18 @@
             self._admission.release(grant)
 
     def release(self, grant: Grant) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self._health.on_end(grant.upstream.name)
         self._admission.release(grant)
 
     def on_answered(self, call: ServiceCall, grant: Grant) -> None:
-        """Learn that a call got a whole answer."""
+        """Record that a call received a complete answer."""
         call.state = AttemptState.complete
         if self.usage is not None:
-            busy = self._clock.elapsed() - call.began
-            figures = UsageFigures(requests=1, milliseconds=busy // MILLISECOND)
+            duration = self._clock.elapsed() - call.started_at
+            figures = UsageFigures(
+                requests=1, milliseconds=duration // MILLISECOND
+            )
             self.usage.record(
                 grant.upstream,
                 call.client_account,
@@ -156,67 +159,69 @@
         self._health.on_success(grant.upstream.name)
 
     def on_failed(self, call: ServiceCall, grant: Grant) -> None:
-        """Learn that an attempt failed; return if it is to be repeated.
+        """Record a failed attempt; return if the call should be retried.
 
-        :raises RefusedError: if the call must not or can't be repeated.
+        :raises RefusedError: if the call must not or can't be retried.
         """
         peer = grant.upstream.name
         connected = call.state not in NEVER_RAN
         call.may_have_run = call.may_have_run or connected
         call.failed.add(peer)
         self._health.on_failure(peer, connected=connected)
-        if not self._may_repeat(call):
+        if not self._may_retry(call):
             raise RefusedError(_refuse_failed(call, peer))
 
     def on_unhealthy(self, grant: Grant) -> None:
-        """Learn that an upstream answered that it is not well."""
+        """Record an answer in which the upstream reported itself unhealthy."""
         self._health.on_failure(grant.upstream.name, connected=True)
 
     def _begin(self, call: ServiceCall, name: str) -> None:
         call.attempts += 1
-        call.began = self._clock.elapsed()
+        call.started_at = self._clock.elapsed()
         call.state = AttemptState.not_sent
         self._health.on_start(name)
 
     def _rank(self, call: ServiceCall) -> tuple[str, ...]:
         names = self.find(call.service).upstreams
-        is_open = [name for name in names if self._router.is_available(name)]
-        admitted = [name for name in is_open if self._health.admits(name)]
+        open_names = [name for name in names if self._router.is_available(name)]
+        admitted = [name for name in open_names if self._health.admits(name)]
         if not admitted:
-            raise RefusedError(self._refuse_closed(call, is_open))
-        fresh = [name for name in admitted if name not in call.failed]
-        return tuple(sorted(fresh or admitted, key=self._admission.running))
+            raise RefusedError(self._refuse_no_upstream(call, open_names))
+        untried = [name for name in admitted if name not in call.failed]
+        return tuple(sorted(untried or admitted, key=self._admission.running))
 
-    def _may_repeat(self, call: ServiceCall) -> bool:
+    def _may_retry(self, call: ServiceCall) -> bool:
         if call.answer_started or not call.replayable:
             return False
-        if call.attempts >= MAX_ATTEMPTS or self._is_late(call):
+        if call.attempts >= MAX_ATTEMPTS or self._is_past_deadline(call):
             return False
         if call.state in NEVER_RAN or self.is_repeatable(call):
             return self._budget.spend(call.client_account)
         return False
 
-    def _is_late(self, call: ServiceCall) -> bool:
+    def _is_past_deadline(self, call: ServiceCall) -> bool:
         if call.deadline is None:
             return False
         return call.deadline <= self._clock.elapsed()
 
-    def _refuse_closed(self, call: ServiceCall, names: list[str]) -> Refusal:
+    def _refuse_no_upstream(
+        self, call: ServiceCall, names: list[str]
+    ) -> Refusal:
         wait = self._health.find_retry_delay(names)
         return Refusal(
             RefusalCode.upstream_failed,
-            'No upstream of the service can be tried now.',
+            'No upstream of the service is currently available.',
             not_run=not call.may_have_run,
-            retry_after=max(wait, SHORTEST_WAIT),
+            retry_after=max(wait, MIN_RETRY_AFTER),
             step='route',
         )
 
 
 def adjust_not_run(refusal: Refusal, call: ServiceCall) -> Refusal:
-    """Make a refusal of one attempt true for the whole call.
+    """Adjust a refusal of one attempt to the whole call.
 
-    An earlier attempt may have run, which whoever refuses the next one
-    doesn't know.
+    An earlier attempt may have run, which the component that refuses the next
+    one does not know.
     """
     return replace(refusal, not_run=refusal.not_run and not call.may_have_run)
 
@@ -227,7 +232,7 @@
         code = RefusalCode.outcome_unknown
     return Refusal(
         code,
-        'The service gave no whole answer.',
+        'The service did not return a complete answer.',
         not_run=not call.may_have_run,
         step='call service',
         peer=peer,
--- a/quetzalcourse/tests/coordination/requests/idempotency_tests.py
+++ b/quetzalcourse/tests/coordination/requests/idempotency_tests.py
@@ -1,4 +1,4 @@
-"""A keyed call is sent once, whatever the store does."""
+"""Tests that a call with an idempotency key is sent at most once."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 OTHER_ACCOUNT = replace(OTHER_BODY, client_account='editors')
 
 
-async def ask(
+async def expect_refusal(
     claims: IdempotencyStore, call: KeyedCall
 ) -> tuple[RefusalCode, bool]:
-    """Claim a key that can't be claimed."""
+    """Claim a key and return the expected refusal."""
     with pytest.raises(RefusedError) as raised:
         await claims.claim(call)
     return raised.value.refusal.code, raised.value.refusal.not_run
@@ -45,9 +45,11 @@
         (['lost_before'] * 3, False),
     ],
 )
-async def test_claim_is_found_out(faults: list[str], taken: bool) -> None:
+async def test_claim_is_recovered_after_store_fault(
+    faults: list[str], taken: bool
+) -> None:
     # The store loses an answer after the write took effect. A daemon that
-    # believed its claim failed would refuse a call that nobody else can
+    # treated its claim as failed would refuse a call that no other daemon can
     # make any more.
     store = FakeStore()
     store.write_faults.extend(faults)
@@ -55,7 +57,7 @@
     if taken:
         await claims.claim(CALL)
     else:
-        assert await ask(claims, CALL) == (
+        assert await expect_refusal(claims, CALL) == (
             RefusalCode.store_unavailable,
             True,
         )
@@ -73,13 +75,13 @@
         (OTHER_ACCOUNT, 'answered', None),
     ],
 )
-async def test_second_use_is_told(
+async def test_second_use_gets_outcome_of_first(
     call: KeyedCall,
     state: str,
     expected: tuple[RefusalCode, bool] | None,
 ) -> None:
-    # A caller whose connection broke asks again with the same key, through
-    # another daemon. It has to learn what became of the first call.
+    # A caller whose connection broke retries with the same key through another
+    # daemon, which must report the outcome of the first call.
     store = FakeStore()
     first = IdempotencyStore(store)
     claim = await first.claim(CALL)
@@ -91,12 +93,12 @@
     if expected is None:
         await second.claim(call)
     else:
-        assert await ask(second, call) == expected
+        assert await expect_refusal(second, call) == expected
 
 
 async def test_unreadable_claim_is_refused() -> None:
-    # The store goes down between the claim and its reading back. Sending
-    # without knowing could run the call a second time.
+    # The store goes down after the claim and before it is read back. Sending
+    # the call without knowing could run it a second time.
     store = FakeStore()
     claims = IdempotencyStore(store)
     store.write_faults.append('lost_after')
@@ -107,7 +109,10 @@
         return await reading(key)
 
     store.read = read  # type: ignore[method-assign]
-    assert await ask(claims, CALL) == (RefusalCode.store_unavailable, True)
+    assert await expect_refusal(claims, CALL) == (
+        RefusalCode.store_unavailable,
+        True,
+    )
 
 
 FAULT = st.sampled_from(('', '', 'not_applied', 'lost_before', 'lost_after'))
@@ -119,13 +124,13 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(USE, min_size=2, max_size=6), st.booleans())
-def test_key_runs_once(
+def test_keyed_call_runs_at_most_once(
     uses: list[tuple[list[str], str]],
     together: bool,
 ) -> None:
-    # Many daemons get the same call, one after another or at once, while
-    # the store fails in every way and daemons die in mid-call. A poem would
-    # be scored twice if two of them sent it.
+    # Several daemons get the same call, sequentially or concurrently, while the
+    # store fails in every way and daemons die in mid-call. If two of them sent
+    # the call, its effect would happen twice.
     runs: list[str] = []
 
     async def use(store: FakeStore, name: str, outcome: str) -> None:
@@ -142,7 +147,7 @@
         if outcome == 'answered':
             await claims.on_answered(claim, 200)
 
-    async def play() -> None:
+    async def run_uses() -> None:
         store = FakeStore()
         tasks = []
         for number, (faults, outcome) in enumerate(uses):
@@ -152,5 +157,5 @@
                 await tasks[-1]
         await asyncio.gather(*tasks)
 
-    asyncio.run(play())
+    asyncio.run(run_uses())
     assert len(runs) <= 1
