--- a/quetzalcourse/coordination/batches/__init__.py
+++ b/quetzalcourse/coordination/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batches: work that is accepted at once and run later."""
+"""Batches: asynchronous jobs, accepted at once and run later."""
--- a/quetzalcourse/coordination/batches/batch_rows.py
+++ b/quetzalcourse/coordination/batches/batch_rows.py
@@ -1,14 +1,14 @@
-"""Rows of batches in the platform's table.
+"""Storage layout of batches in the platform's table.
 
-All rows of a batch share one part, so that they can change together:
+All rows of a batch share one part, so that one transaction can change them:
 
-- ``batches/ID/head``, ``owner``, ``progress`` and ``end`` are small and
-  followed by every daemon;
-- ``items/ID/CHUNK`` hold the items and are read by owners alone;
-- ``partials/ID/RANK`` hold what was made of unfinished items, for the next
-  owner to go on from;
-- ``results/ID/POSITION.PIECE`` hold results and are never rewritten; those
-  of one commit are cut into pieces that fit a row each.
+- ``batches/ID/head``, ``owner``, ``progress`` and ``end`` are small metadata
+  rows that every daemon follows;
+- ``items/ID/CHUNK`` hold the items; only owners read them;
+- ``partials/ID/INDEX`` hold the texts of unfinished items, from which the
+  next owner continues;
+- ``results/ID/POSITION.PIECE`` hold results and are never rewritten; the
+  results of one commit are split into pieces that fit into a row each.
 """
 
 from __future__ import annotations
@@ -50,38 +50,41 @@
 OWNER = 'owner'
 PROGRESS = 'progress'
 END = 'end'
-# The store takes rows of 64 KiB and transactions of 1 MB; the rest is room
-# for names and for the encoding on the wire.
+# The store limits rows to 64 KiB and transactions to 1 MB; the rest is left
+# for keys and for the encoding on the wire.
 CHUNK_BYTES = 48_000
 TRANSACTION_BYTES = 500_000
-# A transaction takes 100 rows.
+# The store limits transactions to 100 rows.
 MAX_PARTIALS = 90
 POSITION_DIGITS = 8
 PIECE_DIGITS = 3
-# Results of one commit; what is left over goes into the next.
+# Results beyond this size go into the next commit.
 COMMIT_BYTES = 500_000
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedWrite:
-    """Write that took effect, and the version of its rows."""
+    """Write that was applied, with the version of its rows."""
 
     version: int
 
 
 def name_row(batch: str, name: str) -> str:
-    """Name one of the small rows of a batch."""
+    """Build the key of a metadata row."""
     return f'{TABLE}/{batch}/{name}'
 
 
 def name_result(batch: str, position: int, piece: int = 0) -> str:
-    """Name a row of the results that begin at a position."""
+    """Build the key of a result row.
+
+    :param position: position of the first result of the commit.
+    """
     number = f'{position:0{POSITION_DIGITS}d}.{piece:0{PIECE_DIGITS}d}'
     return f'{RESULTS}/{batch}/{number}'
 
 
 def split_results(results: Sequence[ItemResult]) -> list[bytes]:
-    """Split results into the contents of rows."""
+    """Encode results, split into the contents of rows."""
     packed = msgspec.json.encode(results)
     return [
         packed[begin : begin + CHUNK_BYTES]
@@ -90,7 +93,10 @@
 
 
 def join_results(rows: Sequence[Row]) -> list[ItemResult]:
-    """Read results from their rows, in the order of their keys."""
+    """Decode results from their rows.
+
+    :param rows: sorted by key.
+    """
     commits: dict[str, list[bytes]] = {}
     for row in rows:
         commits.setdefault(row.key.rpartition('.')[0], []).append(row.content)
@@ -104,7 +110,7 @@
 
 
 def split_items(items: Sequence[BatchItem]) -> list[bytes]:
-    """Split items into the contents of rows."""
+    """Encode items, split into the contents of rows."""
     chunks: list[bytes] = []
     chunk: list[bytes] = []
     size = 0
@@ -123,7 +129,7 @@
     batch: str,
     chunks: Sequence[bytes],
 ) -> list[tuple[Write, ...]]:
-    """Group the rows of items by the transactions that hold them."""
+    """Group the rows of items into transactions."""
     groups: list[tuple[Write, ...]] = [()]
     size = 0
     for number, chunk in enumerate(chunks):
@@ -139,15 +145,15 @@
 def pack_partials(
     partials: Mapping[int, PartialText],
 ) -> list[tuple[int, bytes]]:
-    """Write texts as the contents of rows, as many as one write holds.
+    """Encode as many texts as fit into one transaction.
 
-    A text that is left out is only made again.
+    A text that is left out only has to be generated again.
     """
     packed: list[tuple[int, bytes]] = []
     size = 0
     for rank, partial in partials.items():
         content = msgspec.msgpack.encode(partial)
-        # The texts behind one that is too large may still fit.
+        # Texts after one that is too large may still fit.
         if len(content) > CHUNK_BYTES:
             continue
         if size + len(content) > TRANSACTION_BYTES:
@@ -158,7 +164,7 @@
 
 
 def join_items(chunks: Sequence[bytes]) -> list[BatchItem]:
-    """Read items from the contents of their rows."""
+    """Decode items from the contents of their rows."""
     return [
         msgspec.msgpack.decode(packed, type=BatchItem)
         for chunk in chunks
@@ -170,7 +176,7 @@
     """Reads and writes the rows of batches."""
 
     def __init__(self, table: Table) -> None:
-        """Keep the table."""
+        """Store the table client."""
         self._table = table
 
     async def create(
@@ -183,8 +189,8 @@
         """Write a new batch.
 
         :param chunks: contents of the rows of its items.
-        :param replaced: version of the refusal that stands in its place.
-        :returns: the write, or the head that stands there already.
+        :param replaced: version of the refusal that it replaces, if any.
+        :returns: the write, or the row that conflicts with it.
         """
         key = name_row(head.id, HEAD)
         writes = [
@@ -193,8 +199,8 @@
         ]
         groups = group_chunks(head.id, chunks)
         for group in groups[:-1]:
-            # Rows without a head are nothing yet: the last transaction
-            # makes the batch, or it never was.
+            # Rows without a head row are ignored: the last transaction
+            # creates the batch, or it never existed.
             prepared = await self._table.transact(Transaction((), group))
             if isinstance(prepared, Err):
                 return prepared
@@ -207,10 +213,10 @@
     async def write_refusal(
         self, head: BatchHead
     ) -> Result[AppliedWrite | Row, StoreFault]:
-        """Write a refusal in the place of a batch.
+        """Write a refusal in place of a batch.
 
-        A write of the batch whose answer was lost may still be on its way;
-        once the refusal stands, it can't take effect any more.
+        A write of the batch whose answer was lost may still be in flight;
+        it fails once the refusal is in the store.
         """
         key = name_row(head.id, HEAD)
         answer = await self._table.transact(
@@ -227,9 +233,9 @@
         version: int,
         owner: Ownership,
     ) -> Result[AppliedWrite | Row, StoreFault]:
-        """Become the owner of a batch.
+        """Replace the owner of a batch.
 
-        :param version: version of the owner's row that is replaced.
+        :param version: expected version of the current owner row.
         """
         key = name_row(batch, OWNER)
         answer = await self._table.transact(
@@ -247,10 +253,11 @@
         partials: Mapping[int, PartialText],
         successor: Ownership | None = None,
     ) -> Result[AppliedWrite | Row, StoreFault]:
-        """Keep what was made of unfinished items.
+        """Save the texts of unfinished items.
 
-        :param partials: by the items' place in the batch.
-        :param successor: new owner's row, written along, to hand over.
+        :param partials: texts by item index.
+        :param successor: new owner, written in the same transaction to hand
+            the batch over; ``None`` to keep it.
         """
         key = name_row(batch, OWNER)
         writes = [
@@ -268,7 +275,7 @@
         self,
         batch: str,
     ) -> Result[list[PartialText], StoreFault]:
-        """Read what was made of unfinished items."""
+        """Read the saved texts of unfinished items."""
         answer = await self._table.scan(f'{PARTIALS}/{batch}/')
         return answer.map(
             lambda rows: [
@@ -284,10 +291,11 @@
         position: int,
         results: Sequence[ItemResult],
     ) -> Result[AppliedWrite | Row, StoreFault]:
-        """Write results at their positions for good.
+        """Commit results at their positions; they never change later.
 
-        :param owner_version: an owner that was deposed fails by it.
-        :returns: the write, or the row that stood against it.
+        :param owner_version: expected version of the owner row, so that the
+            commit of a former owner fails.
+        :returns: the write, or the row that conflicts with it.
         """
         key = name_result(batch, position)
         owner = name_row(batch, OWNER)
@@ -308,7 +316,7 @@
     async def mark_ended(
         self, batch: str
     ) -> Result[AppliedWrite | Row, StoreFault]:
-        """Note that the caller wants no more of a batch."""
+        """Record that the caller ended a batch."""
         key = name_row(batch, END)
         answer = await self._table.transact(
             Transaction((), (Write(key, b'1'),))
@@ -319,7 +327,7 @@
         self,
         batch: str,
     ) -> Result[list[Row], StoreFault]:
-        """Read the small rows of a batch."""
+        """Read the metadata rows of a batch."""
         return await self._table.scan(f'{TABLE}/{batch}/')
 
     async def read_items(
@@ -337,9 +345,9 @@
         batch: str,
         known: int,
     ) -> Result[list[ItemResult], StoreFault]:
-        """Read the results from a position on.
+        """Read the results after those that are known.
 
-        :param known: how many results are known, in whole rows.
+        :param known: number of known results, which end with a whole commit.
         """
         last_piece = 10**PIECE_DIGITS - 1
         after = name_result(batch, known - 1, last_piece) if known else ''
@@ -350,7 +358,7 @@
         self,
         batch: str,
     ) -> Result[None, StoreFault]:
-        """Remove all rows of a batch that nobody reads any more."""
+        """Delete all rows of a batch."""
         keys: list[str] = []
         for table in (RESULTS, PARTIALS, ITEMS, TABLE):
             found = await self._table.scan(f'{table}/{batch}/')
--- a/quetzalcourse/coordination/batches/batch_run.py
+++ b/quetzalcourse/coordination/batches/batch_run.py
@@ -1,4 +1,4 @@
-"""A batch that this daemon owns."""
+"""Runtime state of a batch that this daemon owns."""
 
 from __future__ import annotations
 
@@ -30,13 +30,14 @@
 class BatchRun:
     """Items of a batch, and the results that wait to be committed.
 
-    :param owner_version: version of the owner's row, which every commit
-        names; once another daemon owns the batch no commit takes effect.
+    :param owner_version: version of the owner row, on which every commit is
+        conditional; once another daemon owns the batch, commits fail.
     :param due: time since boot at which its results are due.
-    :param expires_at: time since boot after which items may be given up.
-    :param saved_at: time since boot at which texts were saved last.
-    :param committed: results that stand in the store.
-    :param uncommitted: results that do not yet.
+    :param expires_at: time since boot after which items may be abandoned.
+    :param saved_at: time since boot at which texts were last saved.
+    :param committed: number of results in the store.
+    :param uncommitted: results that are not in the store yet.
+    :param wake: set when there are results to commit.
     """
 
     head: BatchHead
@@ -52,15 +53,15 @@
 
     @property
     def done(self) -> bool:
-        """Whether every result stands in the store."""
+        """Whether every result is in the store."""
         return self.committed >= self.head.total
 
     def count_unfinished(self) -> int:
-        """Count the items that have no result yet."""
+        """Count the items without a result."""
         return sum(run.state is not ItemState.finished for run in self.items)
 
     def finish(self, run: ItemRun, result: ItemResult) -> None:
-        """Take the result of an item."""
+        """Queue the result of an item for the next commit."""
         if run.state is ItemState.finished:
             return
         run.state = ItemState.finished
@@ -68,7 +69,7 @@
         self.wake.set()
 
     def take_uncommitted(self) -> list[ItemResult]:
-        """Take as many finished results as one commit holds."""
+        """Remove and return as many queued results as fit in one commit."""
         size = 0
         count = 0
         for result in self.uncommitted:
@@ -83,7 +84,7 @@
         return taken
 
     def collect_partials(self) -> dict[int, PartialText]:
-        """Give the texts of unfinished items, by their ranks."""
+        """Collect the texts of unfinished items by item index."""
         saved = {run.index: run.build_partial() for run in self.items}
         return {
             rank: partial
@@ -94,9 +95,10 @@
     def collect_changed_partials(
         self, oldest: timedelta
     ) -> dict[int, PartialText]:
-        """Give the texts that went on since they were saved last.
+        """Collect the texts that changed since they were last saved.
 
-        :param oldest: time since boot before which an attempt began.
+        :param oldest: time since boot; attempts that started later are left
+            out.
         """
         return {
             run.index: partial
@@ -106,13 +108,13 @@
         }
 
     def restore(self, partials: Sequence[PartialText]) -> None:
-        """Go on from the texts that an earlier owner saved."""
+        """Continue from the texts that an earlier owner saved."""
         runs = {run.item.id: run for run in self.items}
         for partial in partials:
             runs[partial.item].restore(partial)
 
     def stop(self) -> None:
-        """Stop all items; what was not committed is run again elsewhere."""
+        """Cancel all tasks; uncommitted items run again at the next owner."""
         for run in self.items:
             if run.task is not None:
                 run.task.cancel()
@@ -121,10 +123,10 @@
 
 
 def _is_worth_saving(run: ItemRun, oldest: timedelta) -> bool:
-    """Tell whether an owner's death would cost more than its saving.
+    """Tell whether losing a text would cost more than saving it.
 
-    A whole text is saved however quickly it was made: it waits for its
-    score while the service that gives it is slow or away.
+    A complete text is saved even if it was generated quickly: it may wait
+    long for its score while the scoring service is slow or unreachable.
     """
     if run.text_complete:
         return not run.saved_complete
@@ -138,9 +140,9 @@
     owner_version: int,
     accepted_at: timedelta,
 ) -> BatchRun:
-    """Build the run of a batch, also of one that another daemon began.
+    """Build the run of a new batch, or of one that is taken over.
 
-    :param results: results that stand already.
+    :param results: results that are already in the store.
     :param accepted_at: time since boot at which it was first submitted.
     """
     listed = {result.id for result in results}
--- a/quetzalcourse/coordination/batches/batch_service.py
+++ b/quetzalcourse/coordination/batches/batch_service.py
@@ -1,4 +1,4 @@
-"""What callers do with batches: submit, read, and end them."""
+"""Batch API for callers: submit, read and end batches."""
 
 from __future__ import annotations
 
@@ -51,18 +51,19 @@
 
 RETRY_AFTER = timedelta(milliseconds=300)
 CREATE_RETRY_DELAY = timedelta(milliseconds=100)
-# How long a caller who submits is kept while the store gives no answer;
-# it asks again elsewhere then, and the batch still has most of its time.
+# While the store does not answer, a submission is refused after this time:
+# its caller retries at another daemon, with most of the time until the batch
+# is due still left.
 CREATE_TIMEOUT = timedelta(seconds=2.5)
 log = get_log('batches')
 
 
 class OutcomeUnknownError(QuetzalcourseError):
-    """Submission of which nobody can say whether it was accepted."""
+    """Submission that may or may not have been accepted."""
 
 
 class BatchService:
-    """Serves the calls of callers about batches."""
+    """Handles the batch calls of callers."""
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
         store_clock: StoreClock,
         clock: Clock,
     ) -> None:
-        """Keep the parts."""
+        """Store the dependencies."""
         self._rows = rows
         self._directory = directory
         self._reader = reader
@@ -92,10 +93,10 @@
         route: Route,
         submission: Submission,
     ) -> None:
-        """Accept a batch for good, once.
+        """Accept a batch durably; repeated calls are idempotent.
 
-        :raises RefusedError: if it is certain that it does not stand.
-        :raises OutcomeUnknownError: if nothing is certain.
+        :raises RefusedError: if the batch was certainly not accepted.
+        :raises OutcomeUnknownError: if it may have been accepted.
         """
         if self._directory.find(batch_id) is not None:
             return
@@ -120,7 +121,7 @@
         head: BatchHead,
         items: Sequence[BatchItem],
     ) -> OfferOutcome:
-        """Accept a batch that another daemon was asked for."""
+        """Accept or decline a batch that another daemon offers."""
         if self._directory.find(head.id) is not None:
             return OfferOutcome.accepted
         running = sum(
@@ -148,7 +149,7 @@
         *,
         outcome_unknown: bool = False,
     ) -> None:
-        """Accept a batch and begin to run it.
+        """Write a batch to the store and start to run it.
 
         :param outcome_unknown: whether another daemon may have accepted it.
         """
@@ -157,7 +158,8 @@
         owner = Ownership(own.vm, own.incarnation, 1)
         if own.leaving:
             owner = Ownership('', '', 1)
-        # The feed may show the batch before the answer to its write comes.
+        # The feed may show the batch before its write is answered; without
+        # this mark the takeover would treat it as orphaned.
         self._runner.accepting.add(head.id)
         try:
             written = await self._create(
@@ -186,10 +188,11 @@
         position: int,
         wait: timedelta,
     ) -> ResultPage:
-        """Read results from a position on.
+        """Read results, starting at a position.
 
-        :raises RefusedError: if there is no such batch, or the store can't
-            be asked.
+        :param wait: longest time to wait for the first of them.
+        :raises RefusedError: if there is no such batch, or the store does not
+            answer.
         """
         view = await self._find(batch_id, client_account)
         assert view.head is not None  # noqa: S101
@@ -208,7 +211,8 @@
     ) -> bytes:
         """Read the body of an item.
 
-        :raises RefusedError: if there is none, or the store can't be asked.
+        :raises RefusedError: if there is no such item, or the store does not
+            answer.
         """
         await self._find(batch_id, client_account)
         items = await self._list_items(batch_id)
@@ -218,9 +222,10 @@
         raise RefusedError(_refuse_unknown())
 
     async def end(self, batch_id: str, client_account: str) -> None:
-        """End a batch: nothing of it is begun any more.
+        """End a batch, so that none of its items starts any more.
 
-        :raises RefusedError: if there is none, or the store can't be asked.
+        :raises RefusedError: if there is no such batch, or the store does not
+            answer.
         """
         view = await self._find(batch_id, client_account)
         if view.ended:
@@ -229,7 +234,7 @@
         if isinstance(answer, Err):
             raise RefusedError(_refuse_store())
         view.ended = True
-        log.info('Batch is ended.', batch=batch_id)
+        log.info('Batch ended by its caller.', batch=batch_id)
         self._runner.drop(batch_id, 'ended')
 
     async def _list_items(self, batch_id: str) -> list[BatchItem]:
@@ -244,7 +249,7 @@
     async def _find(self, batch_id: str, client_account: str) -> BatchView:
         view = self._directory.find(batch_id)
         if view is None:
-            # What the feed has not told yet may stand all the same.
+            # The feed lags: the batch may be in the store already.
             answer = await self._rows.read_metadata(batch_id)
             if isinstance(answer, Err):
                 raise RefusedError(_refuse_store())
@@ -264,10 +269,10 @@
         *,
         outcome_unknown: bool,
     ) -> AppliedWrite | None:
-        """Write a batch until it stands, here or by another daemon.
+        """Write a batch, and retry until it is in the store.
 
-        :param outcome_unknown: whether a write of it may be under way already.
-        :returns: the write, ``None`` if it stood already.
+        :param outcome_unknown: whether a write of it may already be in flight.
+        :returns: the write, ``None`` if the batch existed already.
         """
         deadline = self._clock.elapsed() + CREATE_TIMEOUT
         replaced = ABSENT
@@ -287,9 +292,9 @@
         raise RefusedError(_refuse_store())
 
     async def _read_existing(self, batch_id: str, row: Row) -> int:
-        """Learn what stands in the place of a batch.
+        """Read the rows that conflict with a new batch.
 
-        :returns: version of the row that may be replaced.
+        :returns: version of the head row that the next write may replace.
         """
         if row.key == name_row(batch_id, HEAD) and row.version:
             self._directory.adopt([row])
--- a/quetzalcourse/coordination/batches/batch_takeover.py
+++ b/quetzalcourse/coordination/batches/batch_takeover.py
@@ -1,4 +1,4 @@
-"""Takes over batches whose owner has gone, and removes old ones."""
+"""Takes over batches of failed owners, and removes expired batches."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
 
 ACTIVE_INTERVAL = timedelta(milliseconds=150)
 IDLE_INTERVAL = timedelta(milliseconds=500)
-# The daemons agree on who comes first; each next one waits this much
-# longer, in case those before it can't reach the store.
+# All daemons rank the successors alike. Each waits this much longer than the
+# one before it, in case that one can't reach the store.
 SUCCESSOR_DELAY = timedelta(milliseconds=400)
 RESULT_RETENTION = timedelta(minutes=2)
 REMOVAL_MARGIN = timedelta(seconds=30)
-# As long as a daemon's silence counts as its end.
+# Equals the time without heartbeats after which a daemon counts as dead.
 OWNERSHIP_GRACE = timedelta(seconds=1.4)
 REMOVAL_INTERVAL = timedelta(seconds=1)
 log = get_log('batches')
 
 
 class BatchTakeover:
-    """Keeps every open batch with a live owner.
+    """Gives every open batch a live owner.
 
-    ``kept`` is the age of a batch until which its results are read.
+    ``result_retention`` is the age up to which results of a batch are read.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         clock: Clock,
         residency: Residency,
     ) -> None:
-        """Watch the directory."""
+        """Subscribe to changes of batches."""
         self.result_retention = RESULT_RETENTION
         self._rows = rows
         self._directory = directory
@@ -79,10 +79,10 @@
         directory.on_change(self.on_batch)
 
     def on_batch(self, view: BatchView) -> None:
-        """Let go of a batch that ended or has another owner."""
+        """Stop running a batch that ended or has another owner."""
         self._record_owner(view)
         if view.open and view.owner is not None and not view.owner.incarnation:
-            # Its owner stops; nobody need be silent first.
+            # Its owner released it; there is no timeout to wait for.
             self._wake.set()
         run = self._runner.batches.get(view.id)
         if run is None:
@@ -93,7 +93,7 @@
             self._runner.drop(view.id, 'deposed')
 
     async def run(self) -> None:
-        """Look for batches without an owner, until cancelled."""
+        """Take over orphaned batches until the task is cancelled."""
         while True:
             self._wake.clear()
             if not self._presence.own.leaving:
@@ -101,24 +101,24 @@
             await wait_event(self._wake, self._choose_interval())
 
     def _choose_interval(self) -> timedelta:
-        """Tell how soon batches are looked at again.
+        """Choose the interval until batches are checked again.
 
-        Those that take over first look closely; all the others wait for
-        them anyway, and hundreds of daemons would be busy with looking.
+        The daemons that take over first check often. All others wait for
+        them anyway, and frequent checks would load hundreds of daemons.
         """
         if self._presence.watching or self._orphaned:
             return ACTIVE_INTERVAL
         return IDLE_INTERVAL
 
     async def hand_over(self) -> None:
-        """Let go of every batch, so that others begin with it at once."""
+        """Release every batch, so that others can take it over at once."""
         self._runner.paused = True
         owned = list(self._runner.batches.values())
         nobody = Ownership('', '', 0)
         for batch in owned:
             self._runner.drop(batch.head.id, 'handed over')
-        # The texts go along: a long item that began anew with each stop of
-        # a rolling restart would come seconds late.
+        # The texts are saved too: a long item that restarted with each stop
+        # of a rolling restart would end seconds late.
         await asyncio.gather(
             *(
                 self._rows.save_partials(
@@ -166,8 +166,9 @@
         return not self._presence.is_live(owner.vm, owner.incarnation)
 
     def _record_owner(self, view: BatchView) -> None:
-        # Whoever has just written itself as the owner lives, whatever its
-        # heartbeats say: they may have been held up while the batch was not.
+        # A daemon that has just written itself as the owner is alive even if
+        # its heartbeats are overdue: they may be delayed when that write was
+        # not.
         shown = self._owners_seen.get(view.id)
         if shown is None or shown[0] != view.owner_version:
             now = self._clock.elapsed()
@@ -262,4 +263,4 @@
         if isinstance(answer, Err):
             return
         self._owners_seen.pop(view.id, None)
-        log.info('Batch is removed.', batch=view.id)
+        log.info('Removed an expired batch.', batch=view.id)
--- a/quetzalcourse/coordination/batches/batch_writer.py
+++ b/quetzalcourse/coordination/batches/batch_writer.py
@@ -1,4 +1,4 @@
-"""Writes what an owner has of its batches into the store."""
+"""Commits the results of owned batches to the store."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     CommitListener = Callable[[str, int, list[ItemResult]], None]
 
 COMMIT_RETRY_DELAY = timedelta(milliseconds=150)
-# Results that finish this close together share one write of the store.
+# Results that finish within this interval share one write to the store.
 COMMIT_INTERVAL = timedelta(milliseconds=20)
 log = get_log('batches')
 
 
 class BatchWriter:
-    """Writes results and texts under the owner's row."""
+    """Writes results and texts, conditional on the owner row."""
 
     def __init__(
         self,
@@ -36,23 +36,24 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Keep the parts."""
+        """Store the dependencies."""
         self._rows = rows
         self._clock = clock
         self._counters = counters
         self._listeners: list[CommitListener] = []
 
     def on_committed(self, listener: CommitListener) -> None:
-        """Call a listener with results that stand from now on.
+        """Call a listener with newly committed results.
 
-        It gets the batch's id and the position of the first of them.
+        It is called with the id of the batch, the position of the first of
+        them and the results.
         """
         self._listeners.append(listener)
 
     async def commit(self, batch: BatchRun) -> bool:
-        """Commit results as they finish, until all stand.
+        """Commit results as they finish, until all are committed.
 
-        :returns: whether they do; otherwise another daemon owns the batch.
+        :returns: ``False`` if another daemon owns the batch now.
         """
         while not batch.done:
             await batch.wake.wait()
@@ -68,9 +69,9 @@
         batch: BatchRun,
         partials: dict[int, PartialText],
     ) -> None:
-        """Save texts that are not whole, for the next owner.
+        """Save texts without a result yet for the next owner.
 
-        One that is not written is only made again.
+        A text that is not saved only has to be generated again.
         """
         answer = await self._rows.save_partials(
             batch.head.id, batch.owner_version, partials
@@ -79,7 +80,7 @@
         self._counters.add('batch_texts_saved', saved=str(saved))
 
     async def _write(self, batch: BatchRun, results: list[ItemResult]) -> bool:
-        """Write results until they stand.
+        """Write results, and retry until they are committed.
 
         :returns: whether this daemon still owns the batch.
         """
@@ -89,8 +90,8 @@
                 batch.head.id, batch.owner_version, batch.committed, results
             )
             if isinstance(answer, Err):
-                # The write may have taken effect; only a later conflict
-                # with its own row can tell.
+                # The write may have been applied; if so, the next attempt
+                # conflicts with the row that it wrote.
                 outcome_unknown = True
                 await self._clock.sleep(COMMIT_RETRY_DELAY)
                 continue
@@ -121,7 +122,7 @@
             listener(batch.head.id, position, results)
         self._counters.add('batch_results', len(results))
         log.info(
-            'Results stand.',
+            'Results committed.',
             batch=batch.head.id,
             position=position,
             count=len(results),
--- a/quetzalcourse/coordination/batches/coordinator_list.py
+++ b/quetzalcourse/coordination/batches/coordinator_list.py
@@ -1,4 +1,4 @@
-"""Which daemons run batches, or may begin to run one at any moment."""
+"""Lists the daemons that run batches or may start one at any time."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 class CoordinatorList:
-    """Finds the daemons that have to know of the upstreams' slots at once.
+    """Lists the daemons that need slot and load updates immediately.
 
-    Told to all daemons, such updates would grow with their square.
+    If all daemons sent such updates to all others, the number of messages
+    would grow with the square of the number of daemons.
     """
 
     def __init__(
@@ -25,13 +26,13 @@
         routes: RouteTable,
         members: MemberView,
     ) -> None:
-        """Keep the parts."""
+        """Store the dependencies."""
         self._directory = directory
         self._routes = routes
         self._members = members
 
     def list_others(self) -> list[Member]:
-        """List the coordinators of all models, and owners of open batches."""
+        """List the other coordinators and owners of open batches."""
         live = self._members.list_live()
         owners = {
             view.owner.vm
--- a/quetzalcourse/coordination/batches/coordinators.py
+++ b/quetzalcourse/coordination/batches/coordinators.py
@@ -1,11 +1,11 @@
-"""Which daemon runs the batches of a model.
-
-The load that this answers: a trainer submits a step every few seconds, each
-by another daemon. Each of these would open a connection for each item of its
-step, learn anew which upstreams are slow or silent, and fill upstreams that
-others fill at the same moment. So the daemons of a data centre agree on one
-that runs the batches of a model; whoever takes a submission offers it there,
-and runs the batch itself if that one is gone, leaving or has enough to do.
+"""Assigns the batches of a model to one coordinator daemon.
+
+A trainer submits a step every few seconds, each to another daemon. If each
+of these ran its step, it would open a connection per item, learn again which
+upstreams are slow or unresponsive, and overfill upstreams that others are
+filling at the same time. So the daemons of a data centre agree on one
+coordinator per model. A daemon that receives a submission offers it there, and
+runs the batch itself if the coordinator is gone, leaving or full.
 """
 
 from __future__ import annotations
@@ -33,18 +33,17 @@
     from quetzalcourse.coordination.ports import MemberView, Peers
     from quetzalcourse.state.members import Member
 
-# Time that a coordinator has to answer an offer.
 OFFER_TIMEOUT = timedelta(milliseconds=150)
-# Unfinished items that a coordinator holds; larger batches run where they come
-# in, which spreads the streams.
+# Unfinished items that a coordinator may hold; a batch beyond that runs at the
+# daemon that received it, which spreads the streams.
 MAX_OPEN_ITEMS = 640
-# Size of an offer; larger batches run where they come in.
+# A larger batch is not offered and runs at the daemon that received it.
 MAX_OFFER_BYTES = 1_000_000
 log = get_log('coordinators')
 
 
 class OfferOutcome(enum.StrEnum):
-    """What became of an offered batch; ``unknown`` may still be accepted."""
+    """Outcome of an offer; an ``unknown`` one may still be accepted."""
 
     accepted = 'accepted'
     declined = 'declined'
@@ -52,7 +51,7 @@
 
 
 class BatchAcceptor(Protocol):
-    """Takes a batch that is offered."""
+    """Handles a batch that another daemon offers."""
 
     async def __call__(
         self,
@@ -63,9 +62,9 @@
 
 
 class BatchOffer(msgspec.Struct, frozen=True):
-    """A batch that another daemon should accept and run.
+    """Offer of a batch, for the receiver to accept and run.
 
-    :param number: which offer of the sender it is.
+    :param number: number of the offer, unique for its sender.
     """
 
     number: int
@@ -74,7 +73,7 @@
 
 
 class OfferReply(msgspec.Struct, frozen=True):
-    """Whether an offered batch stands."""
+    """Answer to an offer."""
 
     number: int
     accepted: bool
@@ -83,10 +82,11 @@
 def find_coordinator(
     model: str, own: Member, members: Sequence[Member]
 ) -> Member:
-    """Find the daemon that runs the batches of a model.
+    """Find the coordinator of a model.
 
-    :param own: daemon that asks; only its data centre counts, so that a cut
-        between data centres separates no submission from its coordinator.
+    :param own: daemon that asks. Only members of its data centre are eligible,
+        so that a network partition between data centres does not separate a
+        submission from its coordinator.
     :param members: live daemons.
     """
     local_members = [
@@ -96,13 +96,13 @@
 
 
 class BatchCoordinators:
-    """Offers batches to their coordinators, and takes those that are offered.
+    """Offers batches to their coordinators, and answers offers of others.
 
-    While the store does not answer, nothing is offered and nothing taken: a
-    coordinator that tries in vain could not say whether the batch stands, and
-    its caller could not be refused truly.
+    While the store does not answer, batches are neither offered nor accepted:
+    a coordinator whose write fails could not tell whether the batch exists, so
+    its caller could not get a definite refusal.
 
-    :param follower: table by which the store's answers here are judged.
+    :param follower: table feed that shows whether the store answers here.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         follower: TableFollower,
         residency: Residency,
     ) -> None:
-        """Listen to offers and to answers."""
+        """Subscribe to offers and to replies."""
         self._residency = residency
         self._peers = peers
         self._members = members
@@ -125,7 +125,7 @@
         peers.subscribe(Topic.batch_told, self.on_reply)
 
     def on_offer(self, acceptor: BatchAcceptor) -> None:
-        """Call a taker with each batch that is offered here."""
+        """Set the handler of batches that are offered to this daemon."""
         self._acceptor = acceptor
 
     async def offer(
@@ -151,7 +151,7 @@
             return OfferOutcome.declined
         outcome = await self._send(coordinator, offered.number, content)
         log.info(
-            'Batch is offered to its coordinator.',
+            'Offered a batch to its coordinator.',
             batch=head.id,
             coordinator=coordinator.vm,
             outcome=outcome.value,
@@ -159,12 +159,12 @@
         return outcome
 
     def on_offered(self, sender: Member, content: bytes) -> None:
-        """Take a batch that another daemon offers."""
+        """Answer the offer of another daemon."""
         offered = msgspec.msgpack.decode(content, type=BatchOffer)
         self._tasks.begin(self._answer_offer(sender, offered))
 
     def on_reply(self, sender: Member, content: bytes) -> None:
-        """Take the answer to an offer."""
+        """Complete the offer that a reply belongs to."""
         reply = msgspec.msgpack.decode(content, type=OfferReply)
         waiting = self._waiting.get(reply.number)
         if waiting is not None and not waiting.done():
@@ -193,7 +193,7 @@
         if self._acceptor is not None and not self._follower.faulty:
             outcome = await self._acceptor(offered.head, offered.items)
         if outcome is OfferOutcome.unknown:
-            # Silence is the answer that promises nothing.
+            # Without a reply, the sender treats the outcome as unknown too.
             return
         reply = OfferReply(offered.number, outcome is OfferOutcome.accepted)
         self._peers.send(
--- a/quetzalcourse/coordination/batches/directory.py
+++ b/quetzalcourse/coordination/batches/directory.py
@@ -1,4 +1,4 @@
-"""All batches that the store holds, as every daemon knows them."""
+"""In-memory index of all batches, built from the table feed."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 @dataclass(slots=True)
 class BatchView:
-    """A batch as far as its small rows are known.
+    """State of a batch, as its metadata rows tell it.
 
-    :param committed: how many results stand in the store.
+    :param committed: number of results in the store.
     """
 
     id: str
@@ -42,22 +42,22 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether it stands, and not a refusal in its place."""
+        """Whether the batch exists, and not a refusal in its place."""
         return self.head is not None and not self.head.refused
 
     @property
     def open(self) -> bool:
-        """Whether work on it is left."""
+        """Whether results are still missing."""
         if self.head is None or self.head.refused or self.ended:
             return False
         return self.committed < self.head.total
 
 
 class BatchDirectory:
-    """Knows every batch by the rows that changed."""
+    """Keeps every batch up to date with the rows that changed."""
 
     def __init__(self, follower: TableFollower) -> None:
-        """Begin without batches."""
+        """Subscribe to the table feed."""
         self.batches: dict[str, BatchView] = {}
         self._follower = follower
         self._listeners: list[Callable[[BatchView], None]] = []
@@ -68,16 +68,16 @@
         self._listeners.append(listener)
 
     def find(self, batch: str) -> BatchView | None:
-        """Find a batch that is known to stand."""
+        """Find an accepted batch."""
         view = self.batches.get(batch)
         return view if view is not None and view.accepted else None
 
     def adopt(self, rows: list[Row]) -> None:
-        """Take rows that were read or written aside from the feed."""
+        """Apply rows that were read or written outside the feed."""
         self._follower.adopt(rows)
 
     def on_rows(self, rows: list[Row]) -> None:
-        """Take rows that changed."""
+        """Apply changed rows and notify the listeners."""
         changed: dict[str, BatchView] = {}
         for row in rows:
             _, batch, name = row.key.split('/', 2)
@@ -89,7 +89,7 @@
             try:
                 _update(view, name, row)
             except msgspec.DecodeError:
-                log.error('Row of a batch is malformed.', key=row.key)
+                log.error('Ignored a malformed batch row.', key=row.key)
                 continue
             changed[batch] = view
         for view in changed.values():
--- a/quetzalcourse/coordination/batches/duration_predictor.py
+++ b/quetzalcourse/coordination/batches/duration_predictor.py
@@ -1,12 +1,12 @@
-"""How long items take, and which of them begin first.
-
-The load that this answers: the trainers of several models submit their steps
-at the same moment, twice as many items as there are slots. A step ends with
-its longest item, and lengths are most uneven: half of the items are over in
-half a second, one in a hundred takes six. A long one that waits for a second
-makes its whole step a second late, a short one nothing. Callers estimate the
-length of each item; an estimate is right at the median and may be off by a
-factor of three, which is still enough to tell long items from short ones.
+"""Predicts the durations of items, and orders items by urgency.
+
+The trainers of several models submit their steps at the same time, twice as
+many items as there are slots. A step ends with its longest item, and lengths
+vary widely: half of the items end within half a second, one in a hundred takes
+six. A long item that waits for a second delays its whole step by a second, a
+short one does not delay it. Callers estimate the length of each item; an
+estimate is right at the median and may be off by a factor of three, which is
+enough to tell long items from short ones.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
     from quetzalcourse.coordination.batches.batch_run import BatchRun
     from quetzalcourse.coordination.batches.item_run import ItemRun
 
-# Share of a new item in the running means; some thirty items of a step are
+# Weight of a new item in the moving averages; about thirty items of a step are
 # enough to follow a model whose answers grow longer.
 EWMA_WEIGHT = 1 / 16
-# Share of its length so far by which an item goes on that is longer than
-# estimated: errors of estimates are factors of about 1.5.
+# An item that exceeds its estimate is expected to continue for this share of
+# its length so far: errors of estimates are factors of about 1.5.
 OVERRUN_SHARE = 0.25
 
 
 @dataclass(slots=True)
 class ModelDurations:
-    """What the items of a model have shown.
+    """Moving averages of the finished items of a model.
 
     :param log_seconds_per_token: logarithm of the seconds that an item took
-        for each token of its estimate; errors of estimates are factors, so
-        their logarithms are averaged.
+        per token of its estimate; errors of estimates are factors, so their
+        logarithms are averaged.
     :param seconds_per_event: seconds between two events.
     """
 
@@ -45,10 +45,10 @@
 
 
 class DurationPredictor:
-    """Predicts how long items still take."""
+    """Predicts the remaining durations of items, by model."""
 
     def __init__(self) -> None:
-        """Begin without items."""
+        """Initialise without observations."""
         self._models: dict[str, ModelDurations] = {}
 
     def observe(
@@ -58,9 +58,10 @@
         events: int,
         took: timedelta,
     ) -> None:
-        """Learn from an item that ran from its first event to its last.
+        """Record an item that ran from its first to its last event.
 
         :param estimate: tokens that its caller expected.
+        :param events: number of its events.
         """
         seconds = took.total_seconds()
         if estimate <= 0 or events <= 0 or seconds <= 0:
@@ -80,10 +81,10 @@
     def predict_remaining(
         self, model: str, estimate: int, events_done: int
     ) -> timedelta:
-        """Predict how long an item still takes.
+        """Predict the remaining duration of an item.
 
-        :param events_done: events that it has already.
-        :returns: zero if nothing is known of it.
+        :param events_done: number of its events so far.
+        :returns: zero without an estimate or without observations.
         """
         known = self._models.get(model)
         if known is None or estimate <= 0:
@@ -97,11 +98,11 @@
     def predict_remaining_events(
         self, model: str, estimate: int, events_done: int
     ) -> int:
-        """Estimate how many events an item still has before it.
+        """Predict the number of further events of an item.
 
-        :param events_done: events that it has already. Lengths are so uneven
-            that without an estimate it has about as many before it as behind
-            it, and some also when it is longer than estimated.
+        :param events_done: number of its events so far. Lengths vary so widely
+            that without an estimate about as many are still to come, and some
+            also if the item exceeds its estimate.
         """
         known = self._models.get(model)
         if known is None or estimate <= 0:
@@ -117,11 +118,11 @@
         self,
         waiting: Sequence[tuple[BatchRun, ItemRun]],
     ) -> list[tuple[BatchRun, ItemRun]]:
-        """Order items by the time that they leave until they are due.
+        """Sort items by their latest start, the earliest first.
 
-        A coordinator that has just begun, or has taken a batch over, knows
-        nothing of the model's times yet. Longer estimates go first there all
-        the same; items without one keep the order of their batch.
+        A coordinator that has just started, or has taken a batch over, has no
+        observations of the model yet. Items with longer estimates come first
+        there too; items without one keep the order of their batch.
         """
         return sorted(waiting, key=self._rank)
 
@@ -130,7 +131,7 @@
         return self.compute_latest_start(*one), -run.item.length_estimate
 
     def compute_latest_start(self, batch: BatchRun, run: ItemRun) -> timedelta:
-        """Tell when an item has to begin, or go on, to be whole in time."""
+        """Compute when an item has to start or continue to end in time."""
         model = batch.head.model
         estimate = run.item.length_estimate
         return batch.due - self.predict_remaining(
--- a/quetzalcourse/coordination/batches/failover.py
+++ b/quetzalcourse/coordination/batches/failover.py
@@ -1,4 +1,4 @@
-"""Which daemons take over a batch whose owner is gone, in their order."""
+"""Ranks the daemons that take over a batch of a failed owner."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
     from quetzalcourse.state.members import Member
 
-# Machines below this share of the strongest one's processor time run no batch
-# while a stronger one lives.
+# Daemons with less than this share of the most cores of any daemon run no batch
+# while a larger one is live.
 HIGH_CAPACITY_SHARE = 0.75
 
 
 def list_high_capacity(members: Sequence[Member]) -> list[Member]:
-    """List the members whose machines are among the strongest."""
+    """List the members with about as many cores as the largest one."""
     strongest = max((one.cores for one in members), default=0)
     return [
         one for one in members if one.cores >= strongest * HIGH_CAPACITY_SHARE
@@ -30,13 +30,13 @@
     owner: str,
     members: Sequence[Member],
 ) -> list[Member]:
-    """Sort the daemons by who takes a batch over first.
+    """Sort the daemons by the order in which they take a batch over.
 
-    Daemons with the same list agree without a message.
+    Daemons with the same list of members agree without messages.
 
-    :param owner: run of the daemon that owned the batch.
-    :param members: live daemons; one that is silent for less than its time
-        is among them.
+    :param owner: incarnation of the daemon that owned the batch.
+    :param members: live daemons, with those whose heartbeat timeout has not
+        passed yet.
     """
     others = [one for one in members if one.incarnation != owner]
     strong = {one.incarnation for one in list_high_capacity(others)}
--- a/quetzalcourse/coordination/batches/item_run.py
+++ b/quetzalcourse/coordination/batches/item_run.py
@@ -1,4 +1,4 @@
-"""One item of a batch on its way to a result."""
+"""Runtime state of one item of a batch."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class ItemState(enum.StrEnum):
-    """Where an item stands.
+    """State of an item.
 
-    ``unscored`` is an item whose text is whole and whose score is missing,
-    ``scoring`` one whose scoring call is under way; neither takes a slot of
-    the upstreams that make texts.
+    ``unscored`` is an item with a complete text and no score yet, ``scoring``
+    one whose scoring call is in progress; neither takes a slot of the
+    upstreams that generate texts.
     """
 
     waiting = 'waiting'
@@ -37,22 +37,22 @@
 
 @dataclass(slots=True)
 class ItemRun:
-    """An item, and the text that upstreams have made of it so far.
+    """An item, and the text that upstreams have generated for it so far.
 
-    :param index: place in the order in which items are begun.
+    :param index: index of the item in its batch.
     :param isolated: whether it runs apart from other suspect requests.
-    :param fingerprint: the same for all requests that are repeats of it.
-    :param scoring_fingerprint: that of its scoring call, if it has one.
-    :param retry_at: time since boot before which it isn't tried again.
-    :param failures: attempts that its upstream called failed.
+    :param fingerprint: identical for all requests that repeat this one.
+    :param scoring_fingerprint: fingerprint of its scoring call, if any.
+    :param retry_at: time since boot before which it is not retried.
+    :param failures: attempts that the upstream answered as failed.
     :param scoring_failures: scoring calls that were answered as failed.
-    :param failed_calls: attempts in a row that brought nothing.
-    :param versions: weight versions that made the text, oldest first.
+    :param failed_calls: consecutive attempts without progress.
+    :param versions: weight versions that generated the text, oldest first.
     :param last_event: number of the last event, ``None`` before the first.
-    :param saved_event: last event of the text that was saved.
-    :param saved_complete: whether it was saved as whole.
-    :param migration_target: upstream where it is to go on, and where a slot
-        is taken for it; ``None`` if it stays.
+    :param saved_event: last event of the text that was last saved.
+    :param saved_complete: whether the saved text was complete.
+    :param migration_target: upstream to continue at, where a slot is reserved
+        for it; ``None`` to stay.
     """
 
     item: BatchItem
@@ -78,22 +78,22 @@
 
     @property
     def text_complete(self) -> bool:
-        """Whether its text is whole and its score is missing."""
+        """Whether the text is complete and only the score is missing."""
         return self.state in {ItemState.unscored, ItemState.scoring}
 
     @property
     def resume_after(self) -> str:
-        """Number of the last event for an upstream to go on behind."""
+        """Number of the event after which an upstream has to continue."""
         return '' if self.last_event is None else str(self.last_event)
 
     def is_next(self, event: StreamEvent) -> bool:
-        """Tell whether an event comes right behind the last one."""
+        """Tell whether an event directly follows the last one."""
         return self.last_event is None or event.number == self.last_event + 1
 
     def append(self, event: StreamEvent, version: int) -> None:
-        """Take an event.
+        """Append an event to the text.
 
-        :param version: weight version that made it.
+        :param version: weight version that generated it, 0 if unknown.
         """
         self.last_event = event.number
         self.texts.append(event.text)
@@ -102,7 +102,7 @@
             self.versions.append(version)
 
     def await_score(self) -> None:
-        """Note that the text is whole and wants its score."""
+        """Mark the text as complete; only its score is missing."""
         self.state = ItemState.unscored
         self.upstream = ''
         self.avoided = ''
@@ -110,13 +110,13 @@
         self.retry_at = timedelta(0)
 
     def reset_text(self) -> None:
-        """Drop the text, to begin anew."""
+        """Discard the text, to generate it again."""
         self.texts.clear()
         self.versions.clear()
         self.last_event = None
 
     def build_partial(self) -> PartialText | None:
-        """Give the text so far, ``None`` if there is none."""
+        """Build the record that saves the text, ``None`` without a text."""
         if self.last_event is None or self.state is ItemState.finished:
             return None
         self.saved_event = self.last_event
@@ -131,7 +131,7 @@
         )
 
     def restore(self, partial: PartialText) -> None:
-        """Go on from a text that an earlier owner saved."""
+        """Continue from a text that an earlier owner saved."""
         if self.state is not ItemState.finished:
             self.texts = list(partial.texts)
             self.versions = list(partial.versions)
@@ -141,16 +141,16 @@
                 self.state = ItemState.unscored
 
     def back_off(self, now: timedelta) -> None:
-        """Wait before the next attempt, longer with each miss."""
+        """Delay the next attempt, with exponential backoff."""
         doublings = min(self.failed_calls, MAX_DOUBLINGS)
         wait = min(MIN_RETRY_DELAY * 2**doublings, MAX_RETRY_DELAY)
         self.failed_calls += 1
         self.retry_at = now + wait
 
     def build_completed_result(self, score: str = '') -> ItemResult:
-        """Give the result of an item whose text is whole.
+        """Build the result of an item with a complete text.
 
-        :param score: what its scoring call said, if it has one.
+        :param score: answer of its scoring call, if it has one.
         """
         return ItemResult(
             self.item.id,
@@ -161,5 +161,5 @@
         )
 
     def build_abandoned_result(self) -> ItemResult:
-        """Give the result of an item that is given up."""
+        """Build the result of an item that is abandoned."""
         return ItemResult(self.item.id, ResultState.abandoned)
--- a/quetzalcourse/coordination/batches/migration.py
+++ b/quetzalcourse/coordination/batches/migration.py
@@ -1,15 +1,14 @@
-"""Which running items go on at a faster upstream, and where.
+"""Decides which running items move to a faster upstream.
 
-The load that this answers: an upstream turns several times slower while items
-run there, or a long item runs at one that is always a third slower than the
-rest; its step waits for that item alone while slots elsewhere are free. A move
-costs a connection and the reading of the prompt and the text, so it has to
-gain more than that. It takes the slot first: items that left their upstream
-for a slot that another one got would go back to where they were, over and
-over, and stand still meanwhile. And it counts on the usual token_latency only:
-of many upstreams that are alike, one always looks faster than the rest for a
-moment, and items that followed it went from one to the next dozens of times, a
-connection each.
+An upstream turns several times slower while items run there, or a long item
+runs at one that is always a third slower than the rest; its step waits for
+that item alone while slots elsewhere are free. A migration costs a connection
+and another prefill of the prompt and the text, so it has to gain more than
+that. It reserves the slot first: items that left their upstream for a slot
+that another item got would go back again and again, without progress. And it
+assumes no better latency than the median: among many similar upstreams one
+always looks faster for a moment, and items that followed it would move dozens
+of times, with a new connection each.
 """
 
 from __future__ import annotations
@@ -26,11 +25,11 @@
 
     from quetzalcourse.coordination.forwarding.upstream import Upstream
 
-# Time that a migration must gain to be worth its connection and prompt.
+# Minimum gain that is worth another connection and prefill.
 MIN_GAIN = timedelta(milliseconds=500)
-# Lower bound of the events that an item still has before it.
+# Lower bound of the expected further events of an item.
 MIN_REMAINING_EVENTS = 12
-# Slots that a migration leaves to waiting items.
+# Slots that migrations leave to waiting items.
 SPARE_SLOTS = 1
 
 
@@ -40,11 +39,11 @@
     remaining_events: int,
     now: timedelta,
 ) -> Upstream | None:
-    """Choose where an item should go on.
+    """Choose an upstream for a running item to move to.
 
     :param current: upstream where it runs.
-    :param candidates: upstreams that may run it, this one among them or not.
-    :param remaining_events: events that it is expected to have still before it.
+    :param candidates: upstreams that may run it, with or without this one.
+    :param remaining_events: expected number of its further events.
     :returns: ``None`` if it should stay.
     """
     if not current.token_latency:
--- a/quetzalcourse/coordination/batches/owner_watch.py
+++ b/quetzalcourse/coordination/batches/owner_watch.py
@@ -1,10 +1,10 @@
-"""A few daemons that look closely at the owner of each open batch.
+"""Watches the owner of each open batch from a few daemons.
 
-The load that this answers: among hundreds of daemons each one reads the
-others' rows only every second or two, so that reads do not grow with the
-daemons. The owner of a batch that dies is noticed as much later, and its
-step is due in a few seconds. So the daemons that would take a batch over
-read its owner's row directly; there are as many of them in any deployment.
+Among hundreds of daemons, each reads the presence rows of the others only
+every second or two, so that the reads do not grow with the number of daemons.
+The death of an owner is then detected as much later, and its step is due in a
+few seconds. So the daemons that would take a batch over read the presence row
+of its owner directly; their number is the same in any deployment.
 """
 
 from __future__ import annotations
@@ -28,20 +28,21 @@
     from quetzalcourse.coordination.ports import Table
     from quetzalcourse.state.clock import Clock
 
-# Two of them may have died with the owner, as in a data centre that is lost.
+# Two of them may fail together with the owner, as in a data centre outage.
 WATCHERS_PER_BATCH = 3
-# An owner's row changes each half second.
+# The presence row of an owner changes every half second.
 WATCH_INTERVAL = timedelta(milliseconds=300)
-# As often as the rows of batches are read in a large deployment.
+# Interval at which a large deployment reads the rows of batches.
 IDLE_INTERVAL = timedelta(seconds=1)
-# Who watches follows from all live daemons, which change more slowly.
+# The watchers depend on the live daemons, which change more slowly.
 SELECTION_TTL = timedelta(seconds=5)
 
 
 class OwnerWatch:
-    """Reads the rows of owners whose batches this daemon would take over.
+    """Reads the presence rows of owners whose batches may be taken over here.
 
-    :param members: copy of the daemons' rows, which learns what is read.
+    :param members: table feed of presence rows, to which the read rows are
+        applied.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         clock: Clock,
         residency: Residency,
     ) -> None:
-        """Begin without owners to watch."""
+        """Initialise without watched owners."""
         self._directory = directory
         self._presence = presence
         self._table = table
@@ -73,7 +74,7 @@
             )
 
     def _find_owners(self) -> set[str]:
-        """Find the VMs whose batches this daemon would take over."""
+        """Find the VMs whose batches this daemon may take over."""
         known = self._directory.batches
         for batch in self._selections.keys() - known.keys():
             self._selections.pop(batch)
@@ -112,7 +113,7 @@
     async def _read_owner_row(self, vm: str) -> None:
         answer = await self._table.read(self._presence.find_row(vm))
         if isinstance(answer, Err):
-            # Its heartbeats may stand in the store all the same.
+            # Its heartbeats may reach the store all the same.
             self._presence.on_unread(vm)
         elif answer.ok_value is not None:
             self._members.adopt([answer.ok_value])
--- a/quetzalcourse/coordination/batches/placement.py
+++ b/quetzalcourse/coordination/batches/placement.py
@@ -1,10 +1,10 @@
-"""Which upstream runs the next item of a batch.
+"""Places the items of batches on upstreams.
 
-The load that this answers: several batches are submitted within the same
-second, each with more items than half of the slots, while some upstreams
-load new weights and one is several times slower than the rest. An item that
-waits inside an upstream's queue can't be moved or overtaken there, so items
-wait here until a slot is free, and slow upstreams are filled last.
+Several batches are submitted within the same second, each with more items
+than half of the slots, while some upstreams load new weights and one is
+several times slower than the rest. An item in an upstream's queue can't be
+moved or reordered, so items wait here until a slot is free, and slow upstreams
+are filled last.
 """
 
 from __future__ import annotations
@@ -29,19 +29,18 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.routing import AllowedRegions
 
-# Time for which the median token latency is not computed again.
 MEDIAN_TTL = timedelta(milliseconds=250)
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What an item needs of its upstream.
+    """Requirements of an item on its upstream.
 
-    :param min_version: oldest weight version that may make its tokens.
-    :param avoided: upstream that it has just left.
-    :param latest_start: time since boot at which it has to begin to be whole
-        in time.
-    :param allowed_regions: where it may run.
+    :param min_version: oldest weight version that may generate its tokens.
+    :param avoided: upstream that it has just left; the last choice.
+    :param latest_start: time since boot at which it has to start to be
+        complete in time.
+    :param allowed_regions: regions where it may run, ``None`` for any.
     :param excluded: upstreams where it must not run for now.
     """
 
@@ -55,7 +54,7 @@
 
     @property
     def key(self) -> PlacementKey:
-        """What decides whether any slot is free for it."""
+        """Part of the request that decides which slots it can use."""
         return PlacementKey(
             self.service, self.model, self.min_version, self.allowed_regions
         )
@@ -67,7 +66,7 @@
     def __init__(
         self, pool: Pool, allocator: SlotAllocator, clock: Clock
     ) -> None:
-        """Keep the pool that is chosen from."""
+        """Store the dependencies."""
         self._pool = pool
         self._allocator = allocator
         self._clock = clock
@@ -76,7 +75,7 @@
     def choose(self, request: PlacementRequest) -> Upstream | None:
         """Choose the upstream for an item.
 
-        :returns: ``None`` if no slot is free where it may run.
+        :returns: ``None`` if no eligible upstream has a free slot.
         """
         now = self._clock.elapsed()
         usable = self.list_eligible(request)
@@ -104,9 +103,9 @@
         ]
 
     def is_slower_than_usual(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream is slower than is usual in its service.
+        """Tell whether an upstream is slower than the median of its service.
 
-        It spares most items the weighing of all upstreams.
+        This cheap check spares most items a search of all upstreams.
         """
         return upstream.token_latency > self._find_median_latency(
             upstream.member.service
@@ -118,11 +117,10 @@
         upstream: Upstream,
         remaining_events: int,
     ) -> Upstream | None:
-        """Choose a faster upstream where a running item should go on.
+        """Choose a faster upstream to move a running item to.
 
-        :param upstream: where it runs.
-        :param remaining_events: events that it is expected to have still
-            before it.
+        :param upstream: upstream where it runs now.
+        :param remaining_events: expected number of its further events.
         """
         now = self._clock.elapsed()
         free = [
--- a/quetzalcourse/coordination/batches/result_notifications.py
+++ b/quetzalcourse/coordination/batches/result_notifications.py
@@ -1,9 +1,9 @@
-"""Tells daemons that wait for a batch's results as soon as they stand.
+"""Notifies daemons of new results that their callers wait for.
 
-The load that this answers: a trainer reads its step at any of hundreds of
-daemons, each of which reads the batches' rows only every second, so that the
-store's reads do not grow with the daemons. The last result of a step stood
-for half a second before its trainer, who was waiting for it, got to know.
+A trainer reads its step at any of hundreds of daemons. Each of these reads the
+rows of batches only every second, so that the reads do not grow with the
+number of daemons; by that alone, a waiting trainer would get the last result
+of its step half a second late.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
-# Callers let a read wait for a second; whoever waits longer asks again.
+# Callers wait up to a second per read; a longer wait subscribes again.
 SUBSCRIPTION_TTL = timedelta(seconds=1.2)
 
 
 class ResultsSubscription(msgspec.Struct, frozen=True):
-    """A caller waits for results at the sender.
+    """Subscription of a daemon whose caller waits for results.
 
-    :param known: how many it has.
+    :param known: number of results that the sender has.
     """
 
     batch: str
@@ -42,9 +42,9 @@
 
 
 class ResultsCommitted(msgspec.Struct, frozen=True):
-    """Results that stand in the store.
+    """Notification of results in the store.
 
-    :param listed: how many there are.
+    :param listed: number of results in the store.
     """
 
     batch: str
@@ -55,7 +55,7 @@
 class Subscriber:
     """Daemon at which a caller waits.
 
-    :param expires_at: time since boot until which it does.
+    :param expires_at: time since boot at which its subscription ends.
     """
 
     member: Member
@@ -74,7 +74,7 @@
         members: MemberView,
         clock: Clock,
     ) -> None:
-        """Listen to those who wait, and to owners."""
+        """Listen to waiting callers, subscriptions and notifications."""
         self._directory = directory
         self._runner = runner
         self._reader = reader
@@ -87,9 +87,9 @@
         reader.on_wait(self.request_notifications)
 
     def request_notifications(self, batch: str, known: int) -> None:
-        """Ask the owner of a batch to tell of further results.
+        """Ask the owner of a batch for a notification of further results.
 
-        :param known: how many this daemon has read.
+        :param known: number of results that this daemon has read.
         """
         view = self._directory.find(batch)
         if view is None or view.owner is None:
@@ -103,7 +103,7 @@
                 self._peers.send(member, Topic.results_awaited, content)
 
     def on_subscription(self, sender: Member, content: bytes) -> None:
-        """Note a daemon at which a caller waits, or answer it at once."""
+        """Record a subscription, or answer it if results are there."""
         subscription = msgspec.msgpack.decode(content, type=ResultsSubscription)
         self._expire_subscriptions()
         run = self._runner.batches.get(subscription.batch)
@@ -122,12 +122,12 @@
         position: int,
         results: Sequence[ItemResult],
     ) -> None:
-        """Tell those who wait that results stand."""
+        """Notify the subscribers of a batch of new results."""
         for subscriber in self._subscribers.pop(batch, {}).values():
             self._notify(subscriber.member, batch, position + len(results))
 
     def on_notification(self, _: Member, content: bytes) -> None:
-        """Wake the callers who wait for a batch's results."""
+        """Wake the callers that wait for the results of a batch."""
         notification = msgspec.msgpack.decode(content, type=ResultsCommitted)
         self._reader.on_result_count(notification.batch, notification.listed)
 
--- a/quetzalcourse/coordination/batches/result_reader.py
+++ b/quetzalcourse/coordination/batches/result_reader.py
@@ -1,4 +1,4 @@
-"""Results of batches, read by any daemon."""
+"""Reads the committed results of batches, on any daemon."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 
     WaitListener = Callable[[str, int], None]
 
-# Results that nobody read for so long are dropped from memory and read
-# again from the store when somebody asks.
+# Results that are not read for this long are evicted from memory, and read
+# again from the store on demand.
 CACHE_TTL = timedelta(seconds=5)
 EVICTION_INTERVAL = timedelta(seconds=1)
 
 
 @dataclass(slots=True)
 class CachedResults:
-    """Results of one batch that this daemon has read.
+    """Cached results of one batch.
 
-    :param changed: set when the store holds more than was read.
+    :param last_used: time since boot of the last access.
+    :param changed: set when the store holds more results than the cache.
     """
 
     results: list[ItemResult] = field(default_factory=list)
@@ -45,10 +46,10 @@
 
 
 class ResultReader:
-    """Reads committed results, and waits for more.
+    """Reads committed results, and waits for further ones.
 
-    Only what stands in the store is shown: a position that one caller has
-    read is the same for every other, whoever owns the batch later.
+    Only results in the store are returned: a position that one caller has read
+    is the same for all others, whichever daemon owns the batch later.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         directory: BatchDirectory,
         clock: Clock,
     ) -> None:
-        """Begin without results."""
+        """Initialise with an empty cache."""
         self._rows = rows
         self._clock = clock
         self._cache: dict[str, CachedResults] = {}
@@ -65,25 +66,25 @@
         directory.on_change(self.on_batch)
 
     def on_batch(self, view: BatchView) -> None:
-        """Wake those who wait for results of a batch."""
+        """Wake the callers that wait for results of a batch."""
         cached = self._cache.get(view.id)
         if cached is not None and view.ended:
             cached.changed.set()
         self.on_result_count(view.id, view.committed)
 
     def on_result_count(self, batch: str, listed: int) -> None:
-        """Learn how many results of a batch stand.
+        """Wake waiting callers if the store holds further results.
 
-        :param listed: at least as many stand in the store.
+        :param listed: lower bound of the number of results in the store.
         """
         cached = self._cache.get(batch)
         if cached is not None and listed > len(cached.results):
             cached.changed.set()
 
     def on_wait(self, listener: WaitListener) -> None:
-        """Call a listener with each batch whose results are waited for.
+        """Call a listener whenever a caller starts to wait for results.
 
-        It gets the batch's id and how many results are known here.
+        It is called with the id of the batch and the number of cached results.
         """
         self._listeners.append(listener)
 
@@ -93,7 +94,7 @@
         position: int,
         results: list[ItemResult],
     ) -> None:
-        """Learn results that this daemon itself has just committed."""
+        """Cache results that this daemon has just committed."""
         cached = self._get_cached(batch)
         if len(cached.results) == position:
             cached.results.extend(results)
@@ -105,9 +106,9 @@
         position: int,
         wait: timedelta,
     ) -> Result[list[ItemResult], StoreFault]:
-        """Read the results from a position on.
+        """Read the results, starting at a position.
 
-        :param wait: how long to wait for the first of them.
+        :param wait: longest time to wait for the first of them.
         """
         cached = self._get_cached(batch)
         if len(cached.results) > position:
@@ -127,7 +128,7 @@
         return Ok(cached.results[position:])
 
     async def run(self) -> None:
-        """Drop what nobody reads, until the task is cancelled."""
+        """Evict unused results until the task is cancelled."""
         while True:
             await self._clock.sleep(EVICTION_INTERVAL)
             oldest = self._clock.elapsed() - CACHE_TTL
--- a/quetzalcourse/coordination/batches/runner.py
+++ b/quetzalcourse/coordination/batches/runner.py
@@ -1,4 +1,4 @@
-"""Runs the items of the batches that this daemon owns."""
+"""Dispatches the items of the batches that this daemon owns."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     SlotDemandListener = Callable[[Collection[SlotDemand]], None]
 
 DISPATCH_INTERVAL = timedelta(milliseconds=50)
-# Interval at which the texts of long items are saved for a next owner.
+# Interval at which the texts of long items are saved for the next owner.
 SAVE_INTERVAL = timedelta(milliseconds=350)
-# Without a batch there is nothing to look after; the next one wakes.
+# Without a batch there is nothing to dispatch; a new one wakes the loop.
 IDLE_INTERVAL = timedelta(seconds=1)
 log = get_log('batches')
 
@@ -54,17 +54,18 @@
         run: ItemRun,
         upstream: Upstream,
     ) -> ItemResult | None:
-        """Run an item until its end, or until the attempt fails.
+        """Run an item until it ends or the attempt fails.
 
-        :returns: its result, ``None`` if it has to be tried again.
+        :returns: its result, ``None`` if it has to be retried.
         """
 
 
 class BatchRunner:
-    """Begins items, commits their results, and stops them.
+    """Starts items on upstreams, commits their results, and stops them.
 
-    ``reserved`` names batches that are being accepted here: they are run
-    once that is done, and nobody else may take them for left alone.
+    ``accepting`` holds the ids of batches that are being accepted here. They
+    run here once they are written, so takeover must not treat them as
+    orphaned.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         quarantine: Quarantine,
         clock: Clock,
     ) -> None:
-        """Begin without batches."""
+        """Initialise without batches."""
         self._residency = residency
         self.batches: dict[str, BatchRun] = {}
         self.accepting: set[str] = set()
@@ -100,25 +101,25 @@
         scoring.on_end(self._wake.set)
 
     def on_batch_start(self, listener: Callable[[], None]) -> None:
-        """Call a listener with each batch that is begun."""
+        """Call a listener whenever a batch starts."""
         self._begin_listeners.append(listener)
 
     def on_placed(self, listener: SlotDemandListener) -> None:
-        """Call a listener with what found no slot, after each placement."""
+        """Call a listener with the unmet slot demand after each dispatch."""
         self._placed_listeners.append(listener)
 
     def on_slots_freed(self) -> None:
-        """Learn that slots of upstreams may have become free."""
+        """Dispatch again, since slots may have become free."""
         if self._any_unplaced:
             self._wake.set()
 
     @property
     def manifest_version(self) -> int:
-        """Version of the routing manifest by which items are sent."""
+        """Version of the routing manifest that items are sent by."""
         return self._routes.version
 
     def has_allowed_upstream(self, route: Route, client_account: str) -> bool:
-        """Tell whether upstreams stand in the regions of a batch."""
+        """Tell whether an upstream in the allowed regions accepts work."""
         allowed = self._residency.find_allowed(route, client_account)
         if allowed is None:
             return True
@@ -129,9 +130,9 @@
         )
 
     def add(self, batch: BatchRun) -> None:
-        """Begin to run a batch, unless it is run here already."""
+        """Start a batch, unless it is already running here."""
         if batch.head.id in self.batches:
-            log.warning('Batch is run here already.', batch=batch.head.id)
+            log.warning('Batch is already running here.', batch=batch.head.id)
             return
         self.batches[batch.head.id] = batch
         batch.commit_task = self._tasks.begin(self._commit(batch))
@@ -142,13 +143,13 @@
     def drop(self, batch_id: str, reason: str) -> BatchRun | None:
         """Stop running a batch.
 
-        :param reason: why, for the log.
+        :param reason: reason for the log.
         """
         batch = self.batches.pop(batch_id, None)
         if batch is not None:
             batch.stop()
             log.info(
-                'Batch is let go.',
+                'Stopped running a batch.',
                 batch=batch_id,
                 reason=reason,
                 listed=batch.committed,
@@ -157,7 +158,7 @@
         return batch
 
     def report_metrics(self, counters: Counters) -> None:
-        """Show in the metrics what runs and what waits."""
+        """Update the gauges of running and waiting items."""
         states = Counter(
             run.state for batch in self.batches.values() for run in batch.items
         )
@@ -167,7 +168,7 @@
         counters.set('items_unscored', states[ItemState.unscored])
 
     async def run(self) -> None:
-        """Begin items as slots become free, until the task is cancelled."""
+        """Start items as slots become free, until the task is cancelled."""
         while True:
             self._wake.clear()
             if not self.paused:
@@ -199,7 +200,7 @@
         self,
         waiting: Sequence[tuple[BatchRun, ItemRun]],
     ) -> None:
-        # Where one found no slot, the next one with the same need finds none.
+        # Once an item finds no slot, further items with the same key find none.
         full: dict[PlacementKey, SlotDemand] = {}
         for batch, run in self._durations.sort_by_urgency(waiting):
             if not self._quarantine.may_begin(run.fingerprint):
@@ -208,7 +209,8 @@
             if request is None:
                 self._on_missing_route(batch, run)
             elif request.excluded:
-                # It may have to wait where others find a slot.
+                # It is barred from some upstreams, so that others with its key
+                # may still find a slot.
                 self._begin(batch, run, request)
             elif request.key not in full and not self._begin(
                 batch, run, request
@@ -221,14 +223,15 @@
             listener(full.values())
 
     def _on_missing_route(self, batch: BatchRun, run: ItemRun) -> None:
-        # A route that is not known yet is not one that was dropped: the
-        # batch came in at a daemon with a newer manifest, which follows.
+        # An unknown route is a removed one only if the manifest here is new
+        # enough: the batch may come from a daemon with a newer manifest that
+        # has not arrived here yet.
         if self._routes.version >= batch.head.manifest_version:
             batch.finish(run, run.build_abandoned_result())
 
     def _save_partials(self, batch: BatchRun, now: timedelta) -> None:
-        # An owner that dies takes the texts with it; of those that take
-        # long, the next one goes on from what was saved.
+        # The texts in memory are lost if the owner dies. The next owner
+        # continues long items from the texts that are saved here.
         if now - batch.saved_at < SAVE_INTERVAL:
             return
         partials = batch.collect_changed_partials(now - SAVE_INTERVAL)
@@ -242,8 +245,8 @@
         upstream = self._placement.choose(request)
         if upstream is None:
             return False
-        # Counted here and not by the task, which begins later: all items
-        # that are placed in one go would find the same upstream empty.
+        # Counted here and not in the task, which starts later: otherwise all
+        # items of one dispatch would see the same upstream as idle.
         self._pool.on_start(upstream)
         self._start(batch, run, upstream)
         return True
@@ -324,7 +327,7 @@
             )
         if result.state is ResultState.abandoned:
             log.warning(
-                'Item is given up.', batch=batch.head.id, item=run.item.id
+                'Item abandoned.', batch=batch.head.id, item=run.item.id
             )
         elif run.item.scoring is not None:
             run.await_score()
@@ -332,10 +335,10 @@
         batch.finish(run, result)
 
     def _on_end(self, run: ItemRun, upstream: Upstream) -> Upstream | None:
-        """Give slots back.
+        """Release the slots of an attempt that ended.
 
-        :returns: upstream at which a slot was kept for the item, if it still
-            takes work.
+        :returns: upstream where a slot is reserved to continue the item, if
+            it still accepts work.
         """
         self._pool.on_end(upstream)
         if run.isolated:
@@ -347,7 +350,7 @@
         if target is None:
             return None
         self._pool.on_end(target)
-        # It may have left or begun anew while the last event came.
+        # It may have left or restarted since its slot was reserved.
         known = self._pool.find(target.name) is target
         usable = target.is_open(self._clock.elapsed())
         usable = usable and self._pool.cold_starts.admits(target)
@@ -366,7 +369,7 @@
         self._end(batch, 'done' if done else 'deposed')
 
     def _end(self, batch: BatchRun, reason: str) -> None:
-        # Another run may stand in its place by now, which goes on.
+        # A newer run of the same batch may have replaced it and goes on.
         batch.commit_task = None
         if self.batches.get(batch.head.id) is batch:
             self.drop(batch.head.id, reason)
@@ -375,6 +378,6 @@
 
 
 def _allows_version(batch: BatchRun, run: ItemRun, upstream: Upstream) -> bool:
-    """Tell whether a text keeps to one weight version where it must."""
+    """Tell whether moving keeps a single-version text on one version."""
     held = upstream.find_version(batch.head.model)
     return not batch.head.single_version or run.versions[-1:] == [held]
--- a/quetzalcourse/coordination/batches/scoring.py
+++ b/quetzalcourse/coordination/batches/scoring.py
@@ -1,11 +1,10 @@
-"""Scores the whole texts of items by calls to a plain service.
-
-The load that this answers: the items of a step end within the same second
-and so do those of other steps, each with a call to a service of few slots
-that humans ask at the same time. Calls that all went out at once would fill
-the slots of that service, and a human's request would wait behind them. So a
-share of the slots is left to humans, calls wait here until there is room,
-and the text waits with them instead of being made again.
+"""Scores the complete texts of items by calls to a plain service.
+
+The items of several steps end within the same second, each with a call to a
+service of few slots that also serves interactive requests. If all calls were
+sent at once, they would fill those slots and human users would queue behind
+them. So a share of the slots is left to human users; calls wait here for a
+free slot, and the text is kept meanwhile instead of being generated again.
 """
 
 from __future__ import annotations
@@ -41,9 +40,10 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.routing import Route
 
-# Share of an upstream's slots for scoring calls; the rest is for humans.
+# Share of an upstream's slots that scoring calls may use; the rest is left to
+# human users.
 MAX_SCORING_SHARE = 2 / 3
-# Timeout of a scoring call until answers on its route are known.
+# Timeout of a scoring call until the latency of its route has been measured.
 DEFAULT_SCORING_TIMEOUT = timedelta(milliseconds=500)
 log = get_log('scoring')
 
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoringOutcome:
-    """Answer to a scoring call.
+    """Outcome of a scoring call.
 
-    :param score: empty unless the text is scored.
-    :param reason: why it is not, in a word or two.
+    :param score: empty unless the text was scored.
+    :param reason: short reason if it was not.
     """
 
     state: ScoringState
@@ -84,15 +84,15 @@
         upstream: Upstream,
         timeout: timedelta,
     ) -> ScoringOutcome:
-        """Make a call once.
+        """Make a call, without retries.
 
-        :param fingerprint: the same for all calls that are repeats of it.
-        :param timeout: when it is given up.
+        :param fingerprint: identical for all calls that repeat this one.
+        :param timeout: time after which the call is abandoned.
         """
 
 
 class ItemScoring:
-    """Decides when and where the calls go, and what their answers mean."""
+    """Schedules scoring calls and handles their outcomes."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Begin without calls."""
+        """Initialise without calls."""
         self._residency = residency
         self._quarantine = quarantine
         self._scorer = scorer
@@ -116,11 +116,11 @@
         self._tasks = Tasks('scoring')
 
     def on_end(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever a call ends."""
+        """Set the listener that is called whenever a call ends."""
         self._on_end = listener
 
     def begin(self, batch: BatchRun, run: ItemRun) -> None:
-        """Begin the call of an item if there is room for it."""
+        """Start the scoring call of an item if an upstream has capacity."""
         call = run.item.scoring
         assert call is not None  # noqa: S101
         if not self._quarantine.may_begin(run.scoring_fingerprint):
@@ -129,8 +129,8 @@
         try:
             route = self._routes.match(call.host, call.path)
         except RefusedError as error:
-            # The route may come back with the next manifest; until then
-            # nothing says that the text has no score.
+            # The next manifest may bring the route back, so that the item is
+            # retried and not abandoned.
             self._record_failure(batch, run, '', error.refusal.code.value)
             return
         service = choose_service(route, call.id)
@@ -181,7 +181,7 @@
             self._quarantine.on_answer(run.scoring_fingerprint, upstream.run)
         if outcome.state is ScoringState.scored:
             log.info(
-                'Item is scored.',
+                'Item scored.',
                 batch=batch.head.id,
                 item=run.item.id,
                 call=call.id,
@@ -214,7 +214,7 @@
         if run.isolated:
             self._quarantine.on_finish(run.scoring_fingerprint, upstream.name)
         run.task = None
-        # An item that was given up meanwhile stays so.
+        # An item that was abandoned meanwhile keeps that state.
         if run.state is ItemState.scoring:
             run.state = ItemState.unscored
         self._on_end()
@@ -226,7 +226,7 @@
         limit = max(route.max_attempts, batch.head.max_attempts)
         if run.scoring_failures >= limit:
             log.warning(
-                'Item is given up, its scoring fails.',
+                'Item abandoned: too many failed scoring calls.',
                 batch=batch.head.id,
                 item=run.item.id,
                 failures=run.scoring_failures,
@@ -259,10 +259,10 @@
     now: timedelta,
     avoided: str,
 ) -> Upstream | None:
-    """Choose the upstream of a scoring call, the least loaded one.
+    """Choose the least loaded upstream for a scoring call.
 
-    :param avoided: upstream where the call has just failed.
-    :returns: ``None`` if none has room beside humans.
+    :param avoided: upstream where the call has just failed; the last choice.
+    :returns: ``None`` if no upstream has capacity for scoring calls.
     """
     able = [one for one in upstreams if one.accepts_work]
     usable = [one for one in able if one.is_open(now)] or able
@@ -280,7 +280,7 @@
 
 
 def has_capacity(upstream: Upstream, now: timedelta) -> bool:
-    """Tell whether an upstream takes a scoring call beside humans."""
+    """Tell whether an upstream has a slot left for scoring calls."""
     limit = max(int(upstream.member.slots * MAX_SCORING_SHARE), 1)
     refusing = upstream.unavailable_until.get('', timedelta(0)) > now
     return upstream.count_load(now) < limit and not refusing
@@ -289,13 +289,13 @@
 def compute_timeout(
     route: Route, failed_calls: int, timeouts: AttemptTimeouts
 ) -> timedelta:
-    """Tell how long a call may take.
+    """Compute the timeout of a call, doubled with each failed one.
 
-    :param failed_calls: calls before it that brought no score.
+    :param failed_calls: consecutive calls before it without a score.
     """
     longest = route.target_latency or DEFAULT_SCORING_TIMEOUT
     first = timeouts.find_wait(route.name, longest)
-    # A text that waits for minutes has hundreds of misses behind it; so many
-    # doublings of a duration are none any more, and would end its calls.
+    # A text that waits for minutes has hundreds of failed calls behind it;
+    # as many doublings would overflow the duration and end its calls.
     doublings = min(failed_calls, MAX_DOUBLINGS)
     return min(first * 2**doublings, max(route.timeout, longest))
--- a/quetzalcourse/coordination/batches/slot_allocation.py
+++ b/quetzalcourse/coordination/batches/slot_allocation.py
@@ -1,14 +1,14 @@
-"""How the daemons that run batches share the slots of upstreams.
-
-The load that this answers: two trainers submit their steps within the same few
-milliseconds, each to another coordinator, and together they have twice as many
-items as there are slots. Coordinators that each take what looks free fill
-every upstream twice: half of the items wait in queues inside the upstreams,
-where nothing can overtake them, the longest ones of a step among them. So
-coordinators tell each other what they took and how urgent their waiting items
-are, and a free slot is for the most urgent one. Each upstream has a
-coordinator that goes first among those that are about as urgent, so that two
-of them that begin together need not wait for each other's word.
+"""Shares the slots of upstreams between the daemons that run batches.
+
+Two trainers submit their steps within the same few milliseconds, each to
+another coordinator, and together they have twice as many items as there are
+slots. Coordinators that each take whatever looks free overcommit every
+upstream by a factor of two: half of the items, the longest of a step among
+them, wait in the upstreams' queues, where they can't be reordered. So
+coordinators exchange the slots that they use and the urgency of their waiting
+items, and a free slot goes to the most urgent item. For each upstream one
+coordinator has precedence among those with similar urgency, so that two
+coordinators that start together need not wait for each other's updates.
 """
 
 from __future__ import annotations
@@ -33,24 +33,25 @@
 UPDATE_TTL = timedelta(seconds=1.5)
 # Time without a batch after which a coordinator is forgotten.
 COORDINATOR_TTL = timedelta(seconds=15)
-# How much sooner an item must begin to go before those of the coordinator that
-# goes first; it keeps slots from passing to and fro.
+# How much earlier the latest start of an item must be to overrule the
+# precedence of another coordinator; it keeps slots from flapping between them.
 PREFERENCE_MARGIN = timedelta(seconds=1)
-# Time in which coordinators that begin together wait for each other's updates.
+# Time for which a coordinator that starts a batch waits for the updates of
+# others before it takes slots where another one has precedence.
 INITIAL_UPDATE_WAIT = timedelta(milliseconds=15)
-# Time after which a free slot that was left alone is no longer reserved.
+# Time after which a free slot that its coordinator does not use is released.
 RESERVATION_TTL = timedelta(milliseconds=200)
-# Longest interval between two looks at a reserved slot.
+# After a longer gap between two checks, the reservation starts over.
 MAX_RESERVATION_CHECK_GAP = timedelta(milliseconds=120)
 log = get_log('coordinators')
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementKey:
-    """What decides whether any slot is free for an item.
+    """Requirements that decide which slots an item can use.
 
-    :param oldest: oldest weight version that may make its tokens.
-    :param allowed_regions: where it may run, ``None`` for anywhere.
+    :param oldest: oldest weight version that may generate its tokens.
+    :param allowed_regions: regions where it may run, ``None`` for any.
     """
 
     service: str
@@ -61,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotDemand:
-    """Items of one kind that wait for a slot.
+    """Items with the same requirements that wait for a slot.
 
-    :param latest_start: time since boot at which the most urgent one of
-        them has to begin to be whole in time.
+    :param latest_start: time since boot at which the most urgent of them has
+        to start to be complete in time.
     """
 
     key: PlacementKey
@@ -73,11 +74,11 @@
 
 @dataclass(slots=True)
 class SlotReservation:
-    """Free slot that is kept for the coordinator that goes first.
+    """Free slot that is held back for the coordinator with precedence.
 
-    :param taken: items that this coordinator has there.
-    :param since: since when it has had as many while a slot was free.
-    :param checked_at: when that was last found so.
+    :param taken: slots that this coordinator uses there.
+    :param since: time since which that number is unchanged with a slot free.
+    :param checked_at: time of the last check that found it so.
     """
 
     taken: int
@@ -87,9 +88,11 @@
 
 @dataclass(slots=True)
 class PeerCoordinator:
-    """Another daemon that runs batches, as it told last.
+    """State of another coordinator, from its last update.
 
+    :param updated_at: time since boot of its last update.
     :param taken: its running items at each upstream.
+    :param demands: its items that wait for slots.
     """
 
     member: Member
@@ -99,13 +102,13 @@
 
 
 class SlotAllocator:
-    """Knows what the other coordinators took, and which slots are this one's.
+    """Tracks the slots of other coordinators, and decides which to use here.
 
     :param members: this daemon and the live ones.
     """
 
     def __init__(self, members: MemberView, pool: Pool, clock: Clock) -> None:
-        """Begin as the only coordinator."""
+        """Initialise without other coordinators."""
         self._members = members
         self._pool = pool
         self._clock = clock
@@ -118,14 +121,14 @@
         self._reservations: dict[str, SlotReservation] = {}
 
     def list_others(self) -> list[Member]:
-        """List the other daemons that ran batches lately."""
+        """List the other daemons that recently ran batches."""
         self._expire_coordinators()
         return [
             coordinator.member for coordinator in self._coordinators.values()
         ]
 
     def on_batch_start(self) -> None:
-        """Learn that a batch begins here."""
+        """Start the wait for updates, since a batch starts here."""
         now = self._clock.elapsed()
         if (
             self._active_since is None
@@ -143,9 +146,12 @@
         *,
         full: bool,
     ) -> None:
-        """Take what another coordinator tells.
+        """Apply the update of another coordinator.
 
-        :param taken: its running items at the upstreams, all or changed ones.
+        :param taken: its running items by upstream.
+        :param demands: its items that wait for slots.
+        :param full: whether ``taken`` holds all upstreams, and not just those
+            that changed.
         """
         now = self._clock.elapsed()
         coordinator = self._coordinators.get(sender.vm)
@@ -155,7 +161,7 @@
         ):
             coordinator = PeerCoordinator(sender, now)
             self._coordinators[sender.vm] = coordinator
-            log.info('Another coordinator shares upstreams.', peer=sender.vm)
+            log.info('Discovered another coordinator.', peer=sender.vm)
         coordinator.updated_at = now
         coordinator.demands = tuple(demands)
         before = set(coordinator.taken)
@@ -167,9 +173,10 @@
             self._update_taken(name, now)
 
     def is_available(self, upstream: Upstream, latest_start: timedelta) -> bool:
-        """Tell whether a free slot of an upstream may be taken here.
+        """Tell whether a free slot of an upstream may be used here.
 
-        :param latest_start: when the item has to begin to be whole in time.
+        :param latest_start: time since boot at which the item has to start to
+            be complete in time.
         """
         if not self._coordinators:
             return True
@@ -189,9 +196,9 @@
         )
 
     def leads(self, upstream: Upstream) -> bool:
-        """Tell whether this coordinator goes first at an upstream.
+        """Tell whether this coordinator has precedence at an upstream.
 
-        One that has not run batches for long enough to have heard of the
+        A coordinator that started to run batches too recently to know the
         others does not.
         """
         now = self._clock.elapsed()
@@ -214,7 +221,7 @@
         preferred: str,
         now: timedelta,
     ) -> bool:
-        """Tell whether another coordinator's items go first."""
+        """Tell whether the items of another coordinator take precedence."""
         if now - coordinator.updated_at > UPDATE_TTL:
             return False
         margin = timedelta(0) if vm == preferred else PREFERENCE_MARGIN
@@ -230,7 +237,7 @@
     def _is_reservation_expired(
         self, name: str, coordinator: PeerCoordinator, now: timedelta
     ) -> bool:
-        """Tell whether the first coordinator left a free slot alone."""
+        """Tell whether a coordinator left a free slot unused too long."""
         taken = coordinator.taken.get(name, 0)
         reservation = self._reservations.get(name)
         if (
@@ -255,7 +262,7 @@
         upstream.taken_until = now + UPDATE_TTL
 
     def _find_preferred(self, name: str) -> str:
-        """Find the VM of the coordinator that goes first at an upstream."""
+        """Find the VM of the coordinator with precedence at an upstream."""
         if self._coordinators.keys() != self._preferred_among:
             self._preferred_among = set(self._coordinators)
             self._preferred.clear()
--- a/quetzalcourse/coordination/batches/slot_usage_updates.py
+++ b/quetzalcourse/coordination/batches/slot_usage_updates.py
@@ -1,4 +1,4 @@
-"""What the daemons that run batches tell each other of their slots."""
+"""Exchanges slot usage between the daemons that run batches."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.members import Member
 
-# Changes within this time share one message.
+# Changes within this interval share one message.
 UPDATE_INTERVAL = timedelta(milliseconds=40)
 # Interval of full updates, which make up for lost messages.
 FULL_UPDATE_INTERVAL = timedelta(seconds=1)
 
 
 class SlotDemandUpdate(msgspec.Struct, frozen=True):
-    """Items of one kind that wait at the sender.
+    """Items with the same requirements that wait at the sender.
 
-    :param seconds: until the most urgent one has to begin, below 0 if it is
-        late; clocks of daemons differ, so no time of day is told.
+    :param seconds: time until the most urgent of them has to start, negative
+        if it is late. It is relative since the clocks of daemons differ.
     """
 
     key: PlacementKey
@@ -43,10 +43,10 @@
 
 
 class SlotUsageUpdate(msgspec.Struct, frozen=True):
-    """What the sender took of the upstreams, and what waits there.
+    """Slots that the sender uses, and its waiting items.
 
     :param taken: its running items at each upstream.
-    :param full: whether upstreams that are not named have none.
+    :param whole: whether it has no items at upstreams that are not listed.
     """
 
     taken: dict[str, int]
@@ -55,10 +55,10 @@
 
 
 class SlotUsageUpdates:
-    """Tells the other coordinators, and hears from them.
+    """Sends updates to the other coordinators, and receives theirs.
 
-    A batch that begins is told to every daemon that may be a coordinator, since
-    the other coordinators are not known before their own first batch.
+    When a batch starts, the update goes to every daemon that may be a
+    coordinator, since other coordinators are unknown before their first batch.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         peers: Peers,
         clock: Clock,
     ) -> None:
-        """Listen to the other coordinators."""
+        """Subscribe to the updates of other coordinators."""
         self._allocator = allocator
         self._pool = pool
         self._coordinators = coordinators
@@ -84,16 +84,16 @@
         peers.subscribe(Topic.slots_told, self.on_message)
 
     def on_update(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever another coordinator has told something."""
+        """Call a listener after each update of another coordinator."""
         self._listeners.append(listener)
 
     def on_batch_start(self) -> None:
-        """Learn that a batch begins here."""
+        """Make the next update a full one to all possible coordinators."""
         self._batch_started = True
         self._allocator.on_batch_start()
 
     def on_message(self, sender: Member, content: bytes) -> None:
-        """Take what another coordinator tells."""
+        """Apply the update of another coordinator."""
         update = msgspec.msgpack.decode(content, type=SlotUsageUpdate)
         now = self._clock.elapsed()
         demands = [
@@ -107,9 +107,9 @@
             listener()
 
     def send_update(self, unplaced: Collection[SlotDemand]) -> None:
-        """Tell what changed since the last time, if anything did.
+        """Send an update if one is due.
 
-        :param unplaced: what waits for a slot here.
+        :param unplaced: items that wait for a slot here.
         """
         now = self._clock.elapsed()
         taken = self._pool.count_running()
--- a/quetzalcourse/coordination/batches/token_latencies.py
+++ b/quetzalcourse/coordination/batches/token_latencies.py
@@ -1,4 +1,4 @@
-"""How fast upstreams make the events of a text, against each other."""
+"""Measures and compares the token latencies of upstreams."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
     from quetzalcourse.coordination.forwarding.upstream import Upstream
 
-# Latency against the median above which an upstream is slow.
+# Multiple of the median latency above which an upstream is slow.
 SLOW_FACTOR = 1.8
-# Latency against the median above which an upstream is filled late.
+# Multiple of the median latency above which an upstream is filled after others.
 SLIGHTLY_SLOW_FACTOR = 1.12
-# A longer gap is a load of weights; the first one of a stream is left out.
+# A longer gap means a load of weights; the first one of a stream is ignored.
 WEIGHT_LOAD_GAP = timedelta(milliseconds=400)
 
 
 @dataclass(slots=True)
 class TokenLatencyReader:
-    """Reads the token latency of an upstream off one stream.
+    """Measures the token latency of an upstream from one stream.
 
-    :param last_at: when the last events came, ``None`` before the first;
-        the time to those is that of the prompt and the queue.
-    :param gap_skipped: whether one long gap has been left out already.
+    :param last_at: time since boot of the last events, ``None`` before the
+        first; the time to the first ones is that of prefill and queueing.
+    :param gap_skipped: whether one long gap has been ignored already.
     """
 
     last_at: timedelta | None = None
     gap_skipped: bool = False
 
     def read(self, now: timedelta, events: int) -> float | None:
-        """Read the time between two events.
+        """Measure the time between two events.
 
-        :param events: how many came now.
-        :returns: seconds, ``None`` if this says nothing of the token_latency.
+        :param events: number of events that arrived now.
+        :returns: seconds per event, ``None`` if it can't be told.
         """
         if not events:
             return None
@@ -51,7 +51,7 @@
 
 
 def find_median_latency(upstreams: Iterable[Upstream]) -> float:
-    """Find the median time between events, 0 if none is known."""
+    """Compute the median time between events, 0 if none is known."""
     latencies = sorted(
         one.token_latency for one in upstreams if one.token_latency
     )
@@ -59,7 +59,7 @@
 
 
 def rank_latency(upstream: Upstream, median: float) -> int:
-    """Rank an upstream by its latency: 0 usual, 1 slower, 2 far slower."""
+    """Rank an upstream by its latency: 0 normal, 1 slower, 2 slow."""
     if not median:
         return 0
     bounds = (SLIGHTLY_SLOW_FACTOR, SLOW_FACTOR)
