--- a/bench/suites/coordinators.py
+++ b/bench/suites/coordinators.py
@@ -44,7 +44,7 @@
     await world.introduce_coordinators()
     for coordinator in world.coordinators:
         coordinator.begin(ITEMS)
-    return await world.play(TICKS)
+    return await world.run_ticks(TICKS)
 
 
 async def measure_watch() -> Figure:
--- a/quetzalcourse/tests/coordination/batches/batch_rows_tests.py
+++ b/quetzalcourse/tests/coordination/batches/batch_rows_tests.py
@@ -19,7 +19,7 @@
     return PartialText('i', ['x' * size], [1], 1)
 
 
-def test_text_that_is_too_large_leaves_the_others() -> None:
+def test_only_the_text_that_is_too_large_is_skipped() -> None:
     # One item of a batch has made more text than a row holds when its owner
     # saves them. Were the rest left out with it, the next owner would make
     # all of them anew, and the step would be late.
@@ -27,7 +27,7 @@
     assert [rank for rank, _ in packed] == [1]
 
 
-def test_texts_stay_within_one_transaction() -> None:
+def test_texts_stay_within_the_size_limit_of_a_transaction() -> None:
     # A long text does not fit behind the others; a short one still does.
     count = TRANSACTION_BYTES // HALF
     partials = dict.fromkeys(range(count + 1), build_partial(HALF))
@@ -37,6 +37,6 @@
     assert packed[-1][0] == count + 1
 
 
-def test_texts_stay_within_the_rows_of_a_transaction() -> None:
+def test_texts_stay_within_the_row_limit_of_a_transaction() -> None:
     partials = dict.fromkeys(range(MAX_PARTIALS + 5), build_partial(1))
     assert len(pack_partials(partials)) == MAX_PARTIALS
--- a/quetzalcourse/tests/coordination/batches/coordinator_list_tests.py
+++ b/quetzalcourse/tests/coordination/batches/coordinator_list_tests.py
@@ -39,7 +39,7 @@
     return CoordinatorList(directory, routes, FakeMembers(members[0], members))
 
 
-def test_every_home_is_told_and_nobody_else() -> None:
+def test_all_coordinators_are_listed_and_nobody_else() -> None:
     # Told to all of two hundred daemons, each load of weights would be
     # thousands of messages a minute.
     members = build_members()
@@ -52,7 +52,7 @@
     assert told == coordinators - {members[0].vm}
 
 
-def test_owner_that_is_no_home_is_told() -> None:
+def test_owner_that_is_no_coordinator_is_listed() -> None:
     # A batch was taken over, or its coordinator had no room; whoever runs it
     # sends its items like a coordinator.
     members = build_members()
--- a/quetzalcourse/tests/coordination/batches/coordinators_tests.py
+++ b/quetzalcourse/tests/coordination/batches/coordinators_tests.py
@@ -24,7 +24,7 @@
     ]
 
 
-def test_all_daemons_of_a_data_centre_agree() -> None:
+def test_daemons_of_a_data_centre_agree_on_the_coordinator() -> None:
     # A step comes in at another daemon each time. If these did not agree,
     # each step would open its connections anew.
     members = build_members(4)
@@ -35,7 +35,7 @@
         assert len(coordinators) == 1
 
 
-def test_models_spread_over_daemons() -> None:
+def test_models_are_spread_over_the_daemons() -> None:
     # Many models are trained. One daemon that ran them all would be full
     # while its neighbours stand idle.
     members = build_members(4)
@@ -46,7 +46,7 @@
     assert max(coordinators.values()) < len(MODELS) / 2
 
 
-def test_home_is_on_the_own_side_of_a_cut() -> None:
+def test_coordinator_is_in_the_own_data_centre() -> None:
     """Daemons of other data centres are no coordinators."""
     members = [*build_members(2), *build_members(6, 'hall-b')]
     for model in MODELS:
@@ -54,7 +54,7 @@
         assert coordinator.data_centre == 'hall-a'
 
 
-def test_weak_machine_is_no_home() -> None:
+def test_small_machine_is_no_coordinator() -> None:
     # A data centre has machines of half a core and of two. The streams of a
     # whole model on half a core would hold up the callers there.
     weak, strong = build_members(2)
@@ -64,7 +64,7 @@
     }
 
 
-def test_home_changes_only_with_its_daemon() -> None:
+def test_coordinator_changes_only_if_its_daemon_leaves() -> None:
     # A daemon leaves. The models that others run stay where their
     # connections are.
     members = build_members(5)
@@ -75,7 +75,7 @@
             assert find_coordinator(model, members[0], rest) == coordinator
 
 
-def test_lone_daemon_is_its_own_home() -> None:
+def test_lone_daemon_is_its_own_coordinator() -> None:
     """Also while it knows of nobody, not even itself."""
     own = build_members(1)[0]
     assert find_coordinator('verse', own, [own]) == own
--- a/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
+++ b/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
@@ -43,7 +43,9 @@
     return [(batch, run) for batch in batches for run in batch.items]
 
 
-def teach(durations: DurationPredictor, count: int = 64) -> None:
+def observe_exact_estimates(
+    durations: DurationPredictor, count: int = 64
+) -> None:
     """Show items whose estimates are right."""
     for number in range(count):
         events = 5 + number % 20
@@ -51,10 +53,10 @@
         durations.observe('m', events * TOKENS, events, took)
 
 
-def test_long_items_begin_first() -> None:
+def test_long_items_start_first() -> None:
     """Also where they stand last in their batch."""
     durations = DurationPredictor()
-    teach(durations)
+    observe_exact_estimates(durations)
     batch = build_run('b', [500, 3000, 100, 6000])
     ordered = [
         run.index for _, run in durations.sort_by_urgency(list_waiting(batch))
@@ -62,7 +64,7 @@
     assert ordered == [3, 1, 0, 2]
 
 
-def test_long_items_begin_first_where_nothing_was_learned() -> None:
+def test_long_items_start_first_without_observations() -> None:
     # A daemon has just taken a step over, or begun anew after a loss of
     # power. Its longest item, begun in the order of the batch, waits for a
     # second, and the trainer with it.
@@ -71,9 +73,7 @@
     assert [run.index for _, run in ordered] == [1, 3, 0, 2]
 
 
-def test_batch_that_is_due_sooner_goes_first_where_nothing_was_learned() -> (
-    None
-):
+def test_batch_that_is_due_sooner_goes_first_without_observations() -> None:
     """Estimates order the items of batches that are due at the same time."""
     late = build_run('late', [100], due=DUE - 4000)
     new = build_run('new', [9000])
@@ -84,7 +84,7 @@
 def test_items_without_estimates_keep_their_order() -> None:
     """Whatever was learned of others."""
     durations = DurationPredictor()
-    teach(durations)
+    observe_exact_estimates(durations)
     batch = build_run('b', [0, 0, 0])
     ordered = durations.sort_by_urgency(list_waiting(batch))
     assert [run.index for _, run in ordered] == [0, 1, 2]
@@ -95,17 +95,17 @@
     # items go before those of the new one that are no longer than the time
     # between them.
     durations = DurationPredictor()
-    teach(durations)
+    observe_exact_estimates(durations)
     late = build_run('late', [1000], due=DUE - 4000)
     new = build_run('new', [2000, 9000])
     ordered = durations.sort_by_urgency(list_waiting(new, late))
     assert [run.item.id for _, run in ordered] == ['new-1', 'late-0', 'new-0']
 
 
-def test_text_that_is_made_is_not_waited_for() -> None:
+def test_generated_text_reduces_the_remaining_duration() -> None:
     """An item that goes on elsewhere counts by what is left of it."""
     durations = DurationPredictor()
-    teach(durations)
+    observe_exact_estimates(durations)
     batch = build_run('b', [4600, 2300])
     batch.items[0].texts = ['x'] * 90
     ordered = [
@@ -123,14 +123,14 @@
         (0, 50, 50),
     ],
 )
-def test_events_left_follow_from_the_estimate(
+def test_remaining_events_follow_from_the_estimate(
     estimate: int,
     made: int,
     left: int,
 ) -> None:
     """An item that is longer than estimated still goes on for a while."""
     durations = DurationPredictor()
-    teach(durations)
+    observe_exact_estimates(durations)
     assert (
         abs(durations.predict_remaining_events('m', estimate, made) - left) <= 1
     )
@@ -171,14 +171,14 @@
 def order_burst(items: list[Item]) -> list[Item]:
     """Order items as a daemon does that has learned their lengths."""
     durations = DurationPredictor()
-    teach(durations)
+    observe_exact_estimates(durations)
     batch = build_run('b', [item.estimate for item in items])
     ordered = durations.sort_by_urgency(list_waiting(batch))
     return [items[run.index] for _, run in ordered]
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_steps_of_all_models_end_a_second_earlier(seed: int) -> None:
+def test_sorted_items_end_a_burst_early(seed: int) -> None:
     # Four models submit 224 items at once for 108 slots, one in twelve five
     # times as long as the others. In the order of their submission the last
     # step ends when a long item that waited ends.
--- a/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
+++ b/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
@@ -192,7 +192,9 @@
 
 
 @pytest.mark.parametrize('rank', range(WATCHERS_PER_BATCH))
-async def test_death_is_noticed_as_soon_among_many(rank: int) -> None:
+async def test_owner_death_is_detected_as_fast_in_a_large_deployment(
+    rank: int,
+) -> None:
     # The daemon that runs a step dies. Among two hundred daemons, each of
     # which heartbeats every few seconds, its silence said nothing for over five
     # seconds, and the trainer waited for a step that was due in seven.
@@ -202,7 +204,7 @@
     assert many <= few * MAX_RATIO
 
 
-async def test_reads_do_not_grow_with_the_daemons() -> None:
+async def test_owner_reads_do_not_grow_with_the_daemons() -> None:
     # Were each daemon to look closely at each owner, the store would refuse
     # the reads of a large deployment.
     world = WatchWorld(LARGE)
@@ -217,7 +219,7 @@
         one.kill()
 
 
-async def test_silent_store_is_no_death() -> None:
+async def test_store_outage_is_not_taken_for_an_owner_death() -> None:
     # The store turns a daemon away that watches an owner. Every batch would
     # be taken from daemons that run it well.
     world = WatchWorld(SMALL)
@@ -225,7 +227,7 @@
     assert taken >= LONGEST
 
 
-def test_strong_machines_take_over_first() -> None:
+def test_large_machines_take_over_first() -> None:
     # A weak machine that takes over a large step reads all its streams, and
     # its callers wait.
     world = WatchWorld(LARGE)
@@ -235,7 +237,7 @@
     }
 
 
-async def test_daemon_that_runs_a_batch_promises_to_beat_soon() -> None:
+async def test_batch_owner_announces_the_short_heartbeat_interval() -> None:
     # Others believe its silence by what it promised. A promise that ends
     # with its batch, before the next heartbeat came, would make it look dead.
     world = WatchWorld(LARGE)
--- a/quetzalcourse/tests/coordination/batches/placement_tests.py
+++ b/quetzalcourse/tests/coordination/batches/placement_tests.py
@@ -29,7 +29,7 @@
 NEED = PlacementRequest('engines', 'verse', 1)
 
 
-class Bench:
+class World:
     """Engines of one service, and what places items on them."""
 
     def __init__(self, count: int = 6) -> None:
@@ -78,131 +78,131 @@
 def test_burst_spreads_over_all_engines() -> None:
     # A batch of 48 items arrives at once. All on one engine they would queue
     # there for seconds while five others stand empty.
-    placed = Bench().place(48)
+    placed = World().place(48)
     assert set(placed.values()) == {8}
 
 
-def test_what_has_no_slot_waits_here() -> None:
+def test_item_without_a_free_slot_is_not_placed() -> None:
     # Three batches arrive within a second, more than all slots. What waits
     # in an engine's queue can't be moved or overtaken.
-    placed = Bench().place(100)
+    placed = World().place(100)
     assert placed['nowhere'] == 100 - 6 * SLOTS
 
 
-def test_work_of_other_daemons_counts() -> None:
+def test_load_from_other_daemons_counts() -> None:
     # Another daemon filled an engine; its answers tell the load.
-    bench = Bench(2)
-    bench.pool.on_load(bench.find(0), LoadReport(SLOTS, 3, SLOTS))
-    assert bench.place(4) == {'e-1': 4}
-    bench.clock.move(timedelta(seconds=2))
-    assert bench.place(8)['e-0'] > 0
+    world = World(2)
+    world.pool.on_load(world.find(0), LoadReport(SLOTS, 3, SLOTS))
+    assert world.place(4) == {'e-1': 4}
+    world.clock.move(timedelta(seconds=2))
+    assert world.place(8)['e-0'] > 0
 
 
 def test_slow_engine_is_filled_last() -> None:
     # One engine turned four times slower. Items there would end after the
     # step is due; with all others full it is still better than none.
-    bench = Bench(3)
+    world = World(3)
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
-        bench.set_token_latency(number, token_latency)
-    assert 'e-0' not in bench.place(2 * SLOTS)
-    assert bench.place(1) == {'e-0': 1}
+        world.set_token_latency(number, token_latency)
+    assert 'e-0' not in world.place(2 * SLOTS)
+    assert world.place(1) == {'e-0': 1}
 
 
-def test_slightly_slower_engines_are_filled_after_the_others() -> None:
+def test_slightly_slower_engine_is_filled_after_the_others() -> None:
     # One engine in three is a third slower, as machines differ. Long items
     # that run there while others have slots end a second later.
-    bench = Bench(3)
+    world = World(3)
     for number, token_latency in enumerate((0.042, 0.032, 0.033)):
-        bench.set_token_latency(number, token_latency)
-    assert bench.place(2 * SLOTS) == {'e-1': SLOTS, 'e-2': SLOTS}
-    assert bench.place(1) == {'e-0': 1}
+        world.set_token_latency(number, token_latency)
+    assert world.place(2 * SLOTS) == {'e-1': SLOTS, 'e-2': SLOTS}
+    assert world.place(1) == {'e-0': 1}
 
 
-def test_item_leaves_a_slow_engine_only_for_a_free_fast_one() -> None:
+def test_item_migrates_from_a_slow_engine_only_to_a_free_fast_one() -> None:
     # An item runs on an engine that turned slow. It moves while others have
     # room, and stays while they are full: moving costs its prompt again.
-    bench = Bench(3)
+    world = World(3)
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
-        bench.set_token_latency(number, token_latency)
-    slow = bench.find(0)
-    assert bench.placement.is_slower_than_usual(slow)
-    target = bench.placement.choose_migration_target(NEED, slow, 10)
-    assert target in (bench.find(1), bench.find(2))
+        world.set_token_latency(number, token_latency)
+    slow = world.find(0)
+    assert world.placement.is_slower_than_usual(slow)
+    target = world.placement.choose_migration_target(NEED, slow, 10)
+    assert target in (world.find(1), world.find(2))
     for fast in (1, 2):
-        here = bench.find(fast)
-        assert bench.placement.choose_migration_target(NEED, here, 10) is None
-    bench.place(2 * SLOTS)
-    assert bench.placement.choose_migration_target(NEED, slow, 10) is None
+        here = world.find(fast)
+        assert world.placement.choose_migration_target(NEED, here, 10) is None
+    world.place(2 * SLOTS)
+    assert world.placement.choose_migration_target(NEED, slow, 10) is None
 
 
-def test_items_leave_a_slow_engine_one_for_each_free_slot() -> None:
+def test_only_as_many_items_migrate_as_slots_are_free() -> None:
     # Ten items run on an engine that turned slow, and two slots are free
     # elsewhere beside the one that is spared. Were all ten to leave, eight
     # would come back and stand still meanwhile, again and again.
-    bench = Bench(2)
-    bench.set_token_latency(0, 0.16)
-    bench.set_token_latency(1, 0.04)
-    fast = bench.find(1)
+    world = World(2)
+    world.set_token_latency(0, 0.16)
+    world.set_token_latency(1, 0.04)
+    fast = world.find(1)
     fast.running = SLOTS - 3
     moved = 0
     for _ in range(10):
-        target = bench.placement.choose_migration_target(
-            NEED, bench.find(0), 10
+        target = world.placement.choose_migration_target(
+            NEED, world.find(0), 10
         )
         if target is not None:
-            bench.pool.on_start(target)
+            world.pool.on_start(target)
             moved += 1
     assert moved == 2
 
 
-def test_long_item_leaves_a_slightly_slower_engine() -> None:
+def test_long_item_migrates_from_a_slightly_slower_engine() -> None:
     # An engine is a third slower than the rest, as machines differ. An item
     # of a hundred events has about as many to come, which is a second; for
     # one that has just begun the move costs more than it gains.
-    bench = Bench(2)
-    bench.set_token_latency(0, 0.042)
-    bench.set_token_latency(1, 0.032)
-    here = bench.find(0)
-    assert bench.placement.choose_migration_target(
+    world = World(2)
+    world.set_token_latency(0, 0.042)
+    world.set_token_latency(1, 0.032)
+    here = world.find(0)
+    assert world.placement.choose_migration_target(
         NEED, here, 100
-    ) is bench.find(1)
-    assert bench.placement.choose_migration_target(NEED, here, 10) is None
+    ) is world.find(1)
+    assert world.placement.choose_migration_target(NEED, here, 10) is None
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_item_does_not_wander_among_engines_that_are_alike(seed: int) -> None:
+def test_item_does_not_migrate_between_similar_engines(seed: int) -> None:
     # Of many engines that are alike, another one looks fastest each moment.
     # A long item that followed moved up to fifty times, and each move opened
     # a connection and had its text read again.
-    bench = Bench(25)
+    world = World(25)
     noise = random.Random(seed)
-    here = bench.find(0)
+    here = world.find(0)
     moves = 0
     for _ in range(100):
         for number in range(25):
             reading = max(noise.gauss(0.038, 0.01), 0.01)
-            bench.pool.on_token_latency(bench.find(number), reading)
-        target = bench.placement.choose_migration_target(NEED, here, 100)
+            world.pool.on_token_latency(world.find(number), reading)
+        target = world.placement.choose_migration_target(NEED, here, 100)
         if target is not None:
             here = target
             moves += 1
     assert moves <= 1
 
 
-def test_item_leaves_an_engine_that_turns_slow_within_a_second() -> None:
+def test_slowdown_is_detected_within_a_second() -> None:
     """Readings of six streams are enough to tell."""
-    bench = Bench(25)
+    world = World(25)
     for number in range(25):
-        bench.set_token_latency(number, 0.038)
-    slow = bench.find(0)
+        world.set_token_latency(number, 0.038)
+    slow = world.find(0)
     readings = 0
-    while bench.placement.choose_migration_target(NEED, slow, 40) is None:
-        bench.pool.on_token_latency(slow, 0.13)
+    while world.placement.choose_migration_target(NEED, slow, 40) is None:
+        world.pool.on_token_latency(slow, 0.13)
         readings += 1
     assert readings * 0.13 / 6 < 1
 
 
-def test_load_of_weights_is_no_slow_pace() -> None:
+def test_pause_for_a_weight_load_does_not_count_as_latency() -> None:
     # A load stops all streams of an engine for 0.9 s. Counted as its
     # latency, all its items would leave it just when it goes on.
     reader = TokenLatencyReader()
@@ -216,31 +216,31 @@
     assert readings[5] == 0.9
 
 
-def test_few_readings_say_nothing_of_a_pace() -> None:
+def test_few_latency_readings_cause_no_migration() -> None:
     # The first events of a burst come unevenly, since prompts are read
     # between them. Items moved on that would start a wave of moves.
-    bench = Bench(3)
+    world = World(3)
     for number in (1, 2):
-        bench.set_token_latency(number, 0.04)
-    bench.pool.on_token_latency(bench.find(0), 0.5)
+        world.set_token_latency(number, 0.04)
+    world.pool.on_token_latency(world.find(0), 0.5)
     assert (
-        bench.placement.choose_migration_target(NEED, bench.find(0), 100)
+        world.placement.choose_migration_target(NEED, world.find(0), 100)
         is None
     )
 
 
-def test_old_weights_and_loading_engines_are_left_out() -> None:
+def test_engines_with_old_or_loading_weights_are_not_eligible() -> None:
     # A step must not be made with weights older than it asks for, and an
     # engine that loads refuses its model.
-    bench = Bench(3)
+    world = World(3)
     new = PlacementRequest('engines', 'verse', 2)
-    assert bench.place(1, new) == {'nowhere': 1}
-    bench.pool.on_version(bench.find(1), 'verse', 2)
-    assert bench.place(1, new) == {'e-1': 1}
-    bench.pool.on_busy(bench.find(1), 'verse')
-    assert bench.place(1, new) == {'nowhere': 1}
-    bench.clock.move(timedelta(seconds=1))
-    assert bench.place(1, new) == {'e-1': 1}
+    assert world.place(1, new) == {'nowhere': 1}
+    world.pool.on_version(world.find(1), 'verse', 2)
+    assert world.place(1, new) == {'e-1': 1}
+    world.pool.on_busy(world.find(1), 'verse')
+    assert world.place(1, new) == {'nowhere': 1}
+    world.clock.move(timedelta(seconds=1))
+    assert world.place(1, new) == {'e-1': 1}
 
 
 MANY = 890
@@ -250,13 +250,13 @@
     # A step of a thousand samples arrives at 890 engines. Weighing all of
     # them for each item would stop the loop for ten seconds, so some are
     # drawn, and the items still spread almost evenly.
-    placed = Bench(MANY).place(MANY)
+    placed = World(MANY).place(MANY)
     assert 'nowhere' not in placed
     assert max(placed.values()) <= 3
 
 
-def test_no_more_engines_are_weighed_than_are_worth_it() -> None:
+def test_number_of_weighed_engines_is_limited() -> None:
     # The time for an item must not grow with the engines.
-    bench = Bench(MANY)
-    assert len(bench.placement.list_eligible(NEED)) == MAX_CANDIDATES
-    assert len(Bench(6).placement.list_eligible(NEED)) == 6
+    world = World(MANY)
+    assert len(world.placement.list_eligible(NEED)) == MAX_CANDIDATES
+    assert len(World(6).placement.list_eligible(NEED)) == 6
--- a/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
+++ b/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
@@ -34,12 +34,12 @@
     def __init__(self) -> None:
         """Begin without results."""
         self.results: list[ItemResult] = []
-        self.looks_in_vain = 0
+        self.empty_reads = 0
 
     async def read_results(self, batch: str, known: int) -> Any:
         """Read those behind the known ones."""
-        if self.looks_in_vain:
-            self.looks_in_vain -= 1
+        if self.empty_reads:
+            self.empty_reads -= 1
             return Ok([])
         return Ok(self.results[known:])
 
@@ -86,7 +86,7 @@
         return notifications, reader
 
 
-async def test_waiting_caller_knows_at_once() -> None:
+async def test_waiting_caller_is_notified_at_once() -> None:
     # A trainer waits at one of hundreds of daemons for the last item of its
     # step. The daemon learned of it a second later, by the feed, and each
     # step of the trainer began as much later.
@@ -98,11 +98,11 @@
     assert (await reading).unwrap() == [RESULT]
 
 
-async def test_result_that_came_before_the_question_is_told() -> None:
+async def test_result_committed_before_the_subscription_is_notified() -> None:
     # The result is committed after the daemon has looked into the store and
     # before its question arrives. The caller would wait for the next one.
     world = World()
-    world.rows.looks_in_vain = 1
+    world.rows.empty_reads = 1
     world.rows.results.append(RESULT)
     world.run.committed = 1
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
@@ -111,7 +111,7 @@
     assert reading.result().unwrap() == [RESULT]
 
 
-async def test_owner_forgets_who_waits_no_more() -> None:
+async def test_expired_subscription_gets_no_notifications() -> None:
     """A caller that gave up costs no message with each later commit."""
     world = World()
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
--- a/quetzalcourse/tests/coordination/batches/runner_tests.py
+++ b/quetzalcourse/tests/coordination/batches/runner_tests.py
@@ -43,7 +43,7 @@
 ROUND_SECONDS = 0.12
 
 
-class HeldItems:
+class BlockingItemRunner:
     """Upstreams that send some events and wait for a test to go on."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         self.proceed.clear()
 
 
-class NoWriter:
+class StubWriter:
     """Store that is never written."""
 
     async def commit(self, batch: BatchRun) -> bool:
@@ -107,9 +107,9 @@
         routes.adopt(read_manifest(config).unwrap())
         residency = Residency({}, routes)
         quarantine = Quarantine(QuarantineRecords(clock), counters)
-        self.items = HeldItems()
+        self.items = BlockingItemRunner()
         none: Any = None
-        writer: Any = NoWriter()
+        writer: Any = StubWriter()
         allocator, _ = build_allocator(self.pool, clock)
         self.runner = BatchRunner(
             self.items,
@@ -163,7 +163,7 @@
     running.cancel()
 
 
-async def test_moving_item_takes_its_slot_first(world: World) -> None:
+async def test_migrating_item_reserves_its_slot_first(world: World) -> None:
     # An item leaves a slow engine with its next event. Until then its slot
     # at the other engine is taken, so that no other item goes there.
     assert world.count_running() == {'slow': 1, 'fast': 1}
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize('end', ['leaves', 'begins anew', 'is gone'])
-async def test_item_does_not_follow_an_engine_that_goes(
+async def test_item_does_not_migrate_to_an_engine_that_leaves(
     world: World,
     end: str,
 ) -> None:
@@ -198,7 +198,7 @@
     assert min(world.count_running().values()) >= 0
 
 
-async def test_dropped_batch_gives_both_slots_back(world: World) -> None:
+async def test_dropped_batch_releases_both_slots(world: World) -> None:
     # A batch ends while its item is about to move. A slot that stayed taken
     # would be lost to all later items.
     world.runner.drop('b', 'ended')
--- a/quetzalcourse/tests/coordination/batches/scoring_tests.py
+++ b/quetzalcourse/tests/coordination/batches/scoring_tests.py
@@ -74,7 +74,7 @@
         (1, 3, 5.0, True),
     ],
 )
-def test_room_counts_what_other_daemons_have_there(
+def test_capacity_counts_requests_of_other_daemons(
     running: int,
     others: int,
     age: float,
@@ -87,13 +87,13 @@
     assert has_capacity(upstream, NOW) is room
 
 
-def test_small_upstream_still_scores() -> None:
+def test_single_slot_upstream_takes_a_scoring_call() -> None:
     """One with a single slot has room for one call."""
     upstream = Upstream(PoolMember('s', 'app', 's:1', 'hall', 1))
     assert has_capacity(upstream, NOW)
 
 
-def test_refusing_upstream_is_left_alone() -> None:
+def test_refusing_upstream_is_not_chosen() -> None:
     # A full server refuses the call. Asked again at once it would only
     # refuse again, and each refusal costs the server time.
     upstream = build_upstream('s')
@@ -101,7 +101,7 @@
     assert choose_upstream([upstream], NOW, '') is None
 
 
-def test_leaving_and_resting_upstreams_come_last() -> None:
+def test_leaving_upstream_is_not_chosen_and_ejected_one_last() -> None:
     """One that leaves gets none; a resting one is better than none."""
     leaving = build_upstream('leaving', leaving=True)
     resting = build_upstream('resting')
@@ -112,7 +112,7 @@
     assert choose_upstream([leaving], NOW, '') is None
 
 
-def test_call_goes_elsewhere_after_a_failure() -> None:
+def test_failed_call_is_retried_at_another_upstream() -> None:
     """Unless there is nowhere else."""
     first, second = build_upstream('a'), build_upstream('b', running=2)
     assert choose_upstream([first, second], NOW, 'a') is second
@@ -130,7 +130,7 @@
         (500, 0, 3, 500),
     ],
 )
-def test_timeout_grows_to_the_route_s_timeout(
+def test_timeout_doubles_up_to_the_route_timeout(
     target: int,
     timeout: int,
     failed_calls: int,
@@ -144,7 +144,7 @@
     assert found == timedelta(milliseconds=expected)
 
 
-def test_whole_text_is_saved_as_such() -> None:
+def test_complete_text_is_saved_as_complete() -> None:
     # An owner dies between a text's end and its score. Its successor goes on
     # with the score; it doesn't make the text again.
     call = ScoringCall('c', 'verse.example', '/score/', b'')
--- a/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
+++ b/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
@@ -119,7 +119,7 @@
         await settle()
         await self.clock.advance(duration)
 
-    async def play(self, ticks: int, *, finished: int = 0) -> int:
+    async def run_ticks(self, ticks: int, *, finished: int = 0) -> int:
         """Let both coordinators place their items for some ticks.
 
         :param finished: items of each coordinator that end in each tick.
@@ -130,11 +130,11 @@
             for coordinator in self.coordinators:
                 coordinator.finish(finished)
                 coordinator.place()
-            most = max(most, self.count_overfull())
+            most = max(most, self.count_overcommitted())
             await self.pass_time(TICK)
         return most
 
-    def count_taken(self) -> Counter[str]:
+    def count_used(self) -> Counter[str]:
         """Count the items at each upstream."""
         return Counter(
             upstream.name
@@ -142,13 +142,13 @@
             for upstream in coordinator.running
         )
 
-    def count_overfull(self) -> int:
+    def count_overcommitted(self) -> int:
         """Count the items that wait inside upstreams."""
-        taken = self.count_taken().values()
+        taken = self.count_used().values()
         return sum(max(count - SLOTS, 0) for count in taken)
 
 
-async def test_steps_that_begin_together_fill_no_upstream_twice() -> None:
+async def test_concurrent_steps_do_not_overcommit_upstreams() -> None:
     # Two trainers submit within the same milliseconds. Items that their
     # coordinators send to the same slots wait inside the upstreams for
     # seconds, and a trainer waits for the longest of them.
@@ -156,17 +156,17 @@
     await world.introduce_coordinators()
     for coordinator in world.coordinators:
         coordinator.begin(ITEMS)
-    assert await world.play(4) == 0
-    assert sum(world.count_taken().values()) == UPSTREAMS * SLOTS
+    assert await world.run_ticks(4) == 0
+    assert sum(world.count_used().values()) == UPSTREAMS * SLOTS
 
 
-async def test_both_steps_go_on_while_slots_become_free() -> None:
+async def test_concurrent_steps_progress_evenly() -> None:
     """Neither coordinator takes what becomes free at the other's upstreams."""
     world = World()
     await world.introduce_coordinators()
     for coordinator in world.coordinators:
         coordinator.begin(ITEMS)
-    assert await world.play(12, finished=10) <= SLOTS
+    assert await world.run_ticks(12, finished=10) <= SLOTS
     left = [coordinator.waiting for coordinator in world.coordinators]
     assert max(left) - min(left) < ITEMS / 4
 
@@ -178,14 +178,14 @@
     await world.introduce_coordinators()
     first, second = world.coordinators
     first.begin(2 * ITEMS)
-    await world.play(3)
+    await world.run_ticks(3)
     second.begin(ITEMS)
-    await world.play(8, finished=10)
+    await world.run_ticks(8, finished=10)
     # Of the eighty items of the first one that ended meanwhile.
     assert ITEMS - second.waiting > 20
 
 
-async def test_late_step_goes_first_everywhere() -> None:
+async def test_overdue_step_has_priority_at_all_upstreams() -> None:
     # A trainer is seconds late, and its older step waits at a coordinator of
     # its own, as after a takeover. A newer step that had half of the slots
     # would keep it late to the end of the day.
@@ -193,27 +193,27 @@
     await world.introduce_coordinators()
     newer, older = world.coordinators
     newer.begin(2 * ITEMS)
-    await world.play(3)
+    await world.run_ticks(3)
     older.request = replace(
         older.request, latest_start=older.request.latest_start - LATE
     )
     older.begin(ITEMS)
-    await world.play(8, finished=12)
+    await world.run_ticks(8, finished=12)
     # Of the items of the newer step that ended meanwhile, but for the ones
     # whose slots were taken again before the older step was known.
     assert ITEMS - older.waiting > 6 * 12
 
 
-async def test_single_step_takes_every_slot() -> None:
+async def test_single_step_uses_every_slot() -> None:
     """Upstreams are kept for a coordinator only while it has items."""
     world = World()
     await world.introduce_coordinators()
     world.coordinators[0].begin(ITEMS)
-    await world.play(3)
+    await world.run_ticks(3)
     assert len(world.coordinators[0].running) == UPSTREAMS * SLOTS
 
 
-async def test_slots_of_a_home_that_died_are_free() -> None:
+async def test_slots_of_a_dead_coordinator_are_released() -> None:
     # The other coordinator dies with all its items. Slots kept for it would
     # stand idle while steps wait.
     world = World()
@@ -231,7 +231,7 @@
     assert len(first.running) == UPSTREAMS * SLOTS
 
 
-async def test_slot_that_its_home_leaves_alone_is_taken() -> None:
+async def test_reserved_slot_that_stays_unused_is_released() -> None:
     # An upstream failed at the coordinator that goes first there, so that it
     # rests at that one. Kept for it all the same it would serve nobody.
     world = World()
@@ -241,11 +241,11 @@
         second.pool.on_failure(upstream, 'reset')
     second.begin(ITEMS)
     first.begin(2 * ITEMS)
-    await world.play(3 + RESERVATION_TTL // TICK)
+    await world.run_ticks(3 + RESERVATION_TTL // TICK)
     assert len(first.running) == UPSTREAMS * SLOTS
 
 
-async def test_foreign_slots_wait_for_news_only_at_the_start() -> None:
+async def test_slots_of_others_wait_for_updates_only_at_the_start() -> None:
     """The wait is a few milliseconds, and none at the own upstreams."""
     world = World()
     await world.introduce_coordinators()
