--- a/quetzalcourse/tests/coordination/batches/batch_rows_tests.py
+++ b/quetzalcourse/tests/coordination/batches/batch_rows_tests.py
@@ -1,4 +1,4 @@
-"""How a batch's rows are cut to what the store takes."""
+"""Tests that the rows of a batch stay within the store's limits."""
 
 from __future__ import annotations
 
@@ -15,20 +15,23 @@
 
 
 def build_partial(size: int) -> PartialText:
-    """Build an unfinished item's text of some length."""
+    """Build the text of an unfinished item.
+
+    :param size: its length in bytes.
+    """
     return PartialText('i', ['x' * size], [1], 1)
 
 
 def test_only_the_text_that_is_too_large_is_skipped() -> None:
-    # One item of a batch has made more text than a row holds when its owner
-    # saves them. Were the rest left out with it, the next owner would make
-    # all of them anew, and the step would be late.
+    # One item has more text than fits into a row. If the other texts were
+    # skipped with it, the next owner would generate all of them again, and
+    # the step would be late.
     packed = pack_partials({0: build_partial(LARGE), 1: build_partial(1)})
     assert [rank for rank, _ in packed] == [1]
 
 
 def test_texts_stay_within_the_size_limit_of_a_transaction() -> None:
-    # A long text does not fit behind the others; a short one still does.
+    # A long text does not fit after the others; a short one still does.
     count = TRANSACTION_BYTES // HALF
     partials = dict.fromkeys(range(count + 1), build_partial(HALF))
     partials[count + 1] = build_partial(1)
--- a/quetzalcourse/tests/coordination/batches/coordinator_list_tests.py
+++ b/quetzalcourse/tests/coordination/batches/coordinator_list_tests.py
@@ -1,4 +1,4 @@
-"""Which daemons are told at once what happens to upstreams' slots."""
+"""Tests which daemons get slot and load updates immediately."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 def build_list(members: list[Member], *owners: Member) -> CoordinatorList:
-    """Build the list of a daemon that sees some open batches."""
+    """Build the list of a daemon that knows some open batches.
+
+    :param owners: owners of these batches.
+    """
     batches: Any = {
         one.vm: SimpleNamespace(open=True, owner=SimpleNamespace(vm=one.vm))
         for one in owners
@@ -40,7 +43,7 @@
 
 
 def test_all_coordinators_are_listed_and_nobody_else() -> None:
-    # Told to all of two hundred daemons, each load of weights would be
+    # Sent to all of two hundred daemons, the updates of weight loads would be
     # thousands of messages a minute.
     members = build_members()
     told = {one.vm for one in build_list(members).list_others()}
@@ -53,8 +56,8 @@
 
 
 def test_owner_that_is_no_coordinator_is_listed() -> None:
-    # A batch was taken over, or its coordinator had no room; whoever runs it
-    # sends its items like a coordinator.
+    # If a batch was taken over, or its coordinator was full, another daemon
+    # runs it and sends its items as a coordinator does.
     members = build_members()
     ordinary = build_list(members).list_others()
     owner = next(one for one in members[1:] if one not in ordinary)
--- a/quetzalcourse/tests/coordination/batches/coordinators_tests.py
+++ b/quetzalcourse/tests/coordination/batches/coordinators_tests.py
@@ -1,4 +1,4 @@
-"""Which daemon runs the batches of a model."""
+"""Tests of the choice of a model's coordinator."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 def test_daemons_of_a_data_centre_agree_on_the_coordinator() -> None:
-    # A step comes in at another daemon each time. If these did not agree,
-    # each step would open its connections anew.
+    # Each step is submitted to another daemon. If the daemons disagreed on
+    # the coordinator, each step would open new connections.
     members = build_members(4)
     for model in MODELS:
         coordinators = {
@@ -36,8 +36,8 @@
 
 
 def test_models_are_spread_over_the_daemons() -> None:
-    # Many models are trained. One daemon that ran them all would be full
-    # while its neighbours stand idle.
+    # Many models are trained. If one daemon ran them all, it would be full
+    # while the others are idle.
     members = build_members(4)
     coordinators = Counter(
         find_coordinator(model, members[0], members).vm for model in MODELS
@@ -47,7 +47,7 @@
 
 
 def test_coordinator_is_in_the_own_data_centre() -> None:
-    """Daemons of other data centres are no coordinators."""
+    """A daemon of another data centre is not eligible."""
     members = [*build_members(2), *build_members(6, 'hall-b')]
     for model in MODELS:
         coordinator = find_coordinator(model, members[0], members)
@@ -55,8 +55,8 @@
 
 
 def test_small_machine_is_no_coordinator() -> None:
-    # A data centre has machines of half a core and of two. The streams of a
-    # whole model on half a core would hold up the callers there.
+    # A data centre has machines with half a core and with two. The streams of
+    # a whole model on half a core would delay the callers of that daemon.
     weak, strong = build_members(2)
     members = [replace(weak, cores=0.5), replace(strong, cores=2.0)]
     assert {find_coordinator(one, weak, members).vm for one in MODELS} == {
@@ -65,7 +65,7 @@
 
 
 def test_coordinator_changes_only_if_its_daemon_leaves() -> None:
-    # A daemon leaves. The models that others run stay where their
+    # When a daemon leaves, the models of the others stay where their
     # connections are.
     members = build_members(5)
     before = {one: find_coordinator(one, members[0], members) for one in MODELS}
@@ -76,7 +76,7 @@
 
 
 def test_lone_daemon_is_its_own_coordinator() -> None:
-    """Also while it knows of nobody, not even itself."""
+    """This also holds while its list of live members is empty."""
     own = build_members(1)[0]
     assert find_coordinator('verse', own, [own]) == own
     assert find_coordinator('verse', own, []) == own
--- a/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
+++ b/quetzalcourse/tests/coordination/batches/duration_predictor_tests.py
@@ -1,4 +1,4 @@
-"""Order of items by what their callers expect of their lengths."""
+"""Tests of predicted durations and of the order that follows."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 def build_run(name: str, estimates: list[int], due: int = DUE) -> BatchRun:
-    """Build a batch whose items have estimates."""
+    """Build a batch whose items have length estimates.
+
+    :param due: age in milliseconds at which its results are due.
+    """
     head = BatchHead(name, 'a', 'r', 'h', len(estimates), 0, due, 20_000, 'm')
     items = [
         BatchItem(f'{name}-{number}', '/i', {}, b'', length_estimate=estimate)
@@ -39,14 +42,14 @@
 
 
 def list_waiting(*batches: BatchRun) -> list[tuple[BatchRun, ItemRun]]:
-    """List all items of batches in their order."""
+    """List all items of the batches in their order."""
     return [(batch, run) for batch in batches for run in batch.items]
 
 
 def observe_exact_estimates(
     durations: DurationPredictor, count: int = 64
 ) -> None:
-    """Show items whose estimates are right."""
+    """Observe items whose estimates are exact."""
     for number in range(count):
         events = 5 + number % 20
         took = timedelta(seconds=events * PACE)
@@ -54,7 +57,7 @@
 
 
 def test_long_items_start_first() -> None:
-    """Also where they stand last in their batch."""
+    """Their position in the batch does not matter."""
     durations = DurationPredictor()
     observe_exact_estimates(durations)
     batch = build_run('b', [500, 3000, 100, 6000])
@@ -65,16 +68,16 @@
 
 
 def test_long_items_start_first_without_observations() -> None:
-    # A daemon has just taken a step over, or begun anew after a loss of
-    # power. Its longest item, begun in the order of the batch, waits for a
-    # second, and the trainer with it.
+    # A daemon has just taken a step over, or restarted after a power loss. In
+    # the order of the batch, its longest item would wait for a second, and
+    # the trainer with it.
     batch = build_run('b', [100, 6000, 0, 500])
     ordered = DurationPredictor().sort_by_urgency(list_waiting(batch))
     assert [run.index for _, run in ordered] == [1, 3, 0, 2]
 
 
 def test_batch_that_is_due_sooner_goes_first_without_observations() -> None:
-    """Estimates order the items of batches that are due at the same time."""
+    """Estimates only order items of batches due at the same time."""
     late = build_run('late', [100], due=DUE - 4000)
     new = build_run('new', [9000])
     ordered = DurationPredictor().sort_by_urgency(list_waiting(new, late))
@@ -82,7 +85,7 @@
 
 
 def test_items_without_estimates_keep_their_order() -> None:
-    """Whatever was learned of others."""
+    """Observations of other items do not matter."""
     durations = DurationPredictor()
     observe_exact_estimates(durations)
     batch = build_run('b', [0, 0, 0])
@@ -91,9 +94,9 @@
 
 
 def test_batch_that_is_due_sooner_goes_first() -> None:
-    # A step is already three seconds late when the next one comes. Its short
-    # items go before those of the new one that are no longer than the time
-    # between them.
+    # A step is already three seconds late when the next one arrives. Its short
+    # items go before those items of the new one that are not longer by more
+    # than the time between both steps.
     durations = DurationPredictor()
     observe_exact_estimates(durations)
     late = build_run('late', [1000], due=DUE - 4000)
@@ -103,7 +106,7 @@
 
 
 def test_generated_text_reduces_the_remaining_duration() -> None:
-    """An item that goes on elsewhere counts by what is left of it."""
+    """An item that continues elsewhere counts by its remaining events."""
     durations = DurationPredictor()
     observe_exact_estimates(durations)
     batch = build_run('b', [4600, 2300])
@@ -128,7 +131,7 @@
     made: int,
     left: int,
 ) -> None:
-    """An item that is longer than estimated still goes on for a while."""
+    """An item that exceeds its estimate is expected to continue."""
     durations = DurationPredictor()
     observe_exact_estimates(durations)
     assert (
@@ -138,14 +141,14 @@
 
 @dataclass(slots=True)
 class Item:
-    """An item of a replayed step: its length and its estimate."""
+    """Item of a simulated step: its duration and its estimate."""
 
     seconds: float
     estimate: int
 
 
 def replay(slots: int, items: list[Item]) -> float:
-    """Run items in their order, and tell when the last one ends."""
+    """Run items in their order, and return when the last one ends."""
     free = [0.0] * slots
     for item in items:
         free.sort()
@@ -154,7 +157,7 @@
 
 
 def build_burst(seed: int) -> list[Item]:
-    """Build the items that four models submit at the same moment."""
+    """Build the items that four models submit at the same time."""
     source = random.Random(seed)
     items = []
     for _ in range(BURST_ITEMS):
@@ -169,7 +172,7 @@
 
 
 def order_burst(items: list[Item]) -> list[Item]:
-    """Order items as a daemon does that has learned their lengths."""
+    """Sort items as a daemon with enough observations does."""
     durations = DurationPredictor()
     observe_exact_estimates(durations)
     batch = build_run('b', [item.estimate for item in items])
@@ -179,9 +182,9 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_sorted_items_end_a_burst_early(seed: int) -> None:
-    # Four models submit 224 items at once for 108 slots, one in twelve five
-    # times as long as the others. In the order of their submission the last
-    # step ends when a long item that waited ends.
+    # Four models submit 224 items at once for 108 slots; one in twelve is five
+    # times as long as the others. In the order of submission the last step
+    # ends only with a long item that had to wait, a second later.
     items = build_burst(seed)
     ordered = order_burst(items)
     longest = max(item.seconds for item in items)
--- a/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
+++ b/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
@@ -1,4 +1,4 @@
-"""How soon the death of a batch's owner is noticed among many daemons."""
+"""Tests how soon the death of a batch owner is detected."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 STEP = timedelta(milliseconds=50)
 SMALL = 11
 LARGE = 195
-# What a death may take longer to be noticed among many daemons.
+# Largest ratio of the detection times in a large and a small deployment.
 MAX_RATIO = 1.5
 WARM_UP = timedelta(seconds=8)
-# Seconds for which the daemons that only stand by count as alive.
+# Seconds for which the other daemons count as live without heartbeats.
 STANDING_BY = 3600
-# A heartbeat and the quarter of a second for which changes are collected.
+# Heartbeat interval plus the quarter of a second for which changes are batched.
 OWNER_BEAT = timedelta(seconds=0.75)
 LONGEST = timedelta(minutes=1)
-# Until the first heartbeat is written, in seconds of the loop's own time.
+# Real time until the first heartbeat is written, in seconds.
 REAL_START = 0.1
 HEAD_ROW = BatchHead('b', 'desk', 'r', 'h', 4, 0, 7500, 20_000, 'm')
 
 
 def build_member(number: int) -> Member:
-    """Build a daemon; one in four has a strong machine."""
+    """Build a daemon; one in four has a large machine."""
     return Member(
         f'vm-{number}',
         f'vm-{number}-a',
@@ -61,10 +61,10 @@
 
 
 class Daemon:
-    """What a daemon knows of the others and of one open batch."""
+    """A daemon's view of the others and of one open batch."""
 
     def __init__(self, world: WatchWorld, own: Member) -> None:
-        """Begin to follow and to watch."""
+        """Start to follow the feeds and to watch the owner."""
         clock = world.clock
         feed: Any = world.feed
         follower = TableFollower(
@@ -102,20 +102,20 @@
         ]
 
     def begin_beats(self) -> None:
-        """Begin to heartbeat, which goes by the loop's own time."""
+        """Start the heartbeats, which run in real time."""
         self._tasks.append(asyncio.ensure_future(self.presence.run()))
 
     def kill(self) -> None:
-        """End at once."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
 
 class WatchWorld:
-    """Daemons of one deployment, of which the first owns a batch."""
+    """Daemons of one deployment; the first one owns a batch."""
 
     def __init__(self, count: int) -> None:
-        """Begin with rows of all daemons."""
+        """Start with the presence rows of all daemons."""
         self.clock = FakeClock()
         self.feed = FakeFeed(self.clock)
         self.count = count
@@ -138,10 +138,11 @@
         ]
 
     async def measure(self, taker: Member, *, cut: bool = False) -> timedelta:
-        """Measure how long the owner's end goes unnoticed.
+        """Measure the time until the owner's death is detected.
 
-        :param cut: whether the store turns the taker away instead.
-        :returns: the time, ``LONGEST`` and more if it is never noticed.
+        :param taker: daemon that watches the owner.
+        :param cut: whether the store refuses the watching daemon instead.
+        :returns: at least ``LONGEST`` if it is never detected.
         """
         watching = Daemon(self, taker)
         await self.pass_time(WARM_UP)
@@ -157,7 +158,7 @@
         return self.clock.elapsed() - began
 
     async def pass_time(self, duration: timedelta) -> None:
-        """Let time pass."""
+        """Advance the clock, and write the owner's heartbeats."""
         ends = self.clock.elapsed() + duration
         while self.clock.elapsed() < ends:
             if self.owner_lives and self.clock.elapsed() >= self._next_beat:
@@ -168,7 +169,7 @@
             await self.clock.advance(STEP)
 
     def read_gap(self) -> float:
-        """Read how soon the owner promises its next heartbeat."""
+        """Read the heartbeat interval that the owner announces."""
         row = self.feed.rows[members.name_row(self.owner)]
         record = msgspec.json.decode(row.content, type=members.PresenceRecord)
         return record.gap
@@ -195,9 +196,9 @@
 async def test_owner_death_is_detected_as_fast_in_a_large_deployment(
     rank: int,
 ) -> None:
-    # The daemon that runs a step dies. Among two hundred daemons, each of
-    # which heartbeats every few seconds, its silence said nothing for over five
-    # seconds, and the trainer waited for a step that was due in seven.
+    # The daemon that runs a step dies. Among two hundred daemons that send
+    # heartbeats every few seconds, a missed heartbeat alone shows that only
+    # after more than five seconds, and the step is due in seven.
     small, large = WatchWorld(SMALL), WatchWorld(LARGE)
     few = await small.measure(small.successors[rank])
     many = await large.measure(large.successors[rank])
@@ -205,8 +206,8 @@
 
 
 async def test_owner_reads_do_not_grow_with_the_daemons() -> None:
-    # Were each daemon to look closely at each owner, the store would refuse
-    # the reads of a large deployment.
+    # If every daemon watched every owner, the store would refuse the reads of a
+    # large deployment.
     world = WatchWorld(LARGE)
     takers = [
         Daemon(world, one) for one in world.successors[:WATCHERS_PER_BATCH]
@@ -220,16 +221,16 @@
 
 
 async def test_store_outage_is_not_taken_for_an_owner_death() -> None:
-    # The store turns a daemon away that watches an owner. Every batch would
-    # be taken from daemons that run it well.
+    # The store refuses the reads of a daemon that watches an owner. If it took
+    # that for a death, batches would be taken from healthy owners.
     world = WatchWorld(SMALL)
     taken = await world.measure(world.successors[0], cut=True)
     assert taken >= LONGEST
 
 
 def test_large_machines_take_over_first() -> None:
-    # A weak machine that takes over a large step reads all its streams, and
-    # its callers wait.
+    # A small machine that takes over a large step has to read all its streams,
+    # which delays its callers.
     world = WatchWorld(LARGE)
     strong = [one for one in world.everyone[1:] if one.cores > 1]
     assert {one.vm for one in world.successors[: len(strong)]} == {
@@ -238,8 +239,9 @@
 
 
 async def test_batch_owner_announces_the_short_heartbeat_interval() -> None:
-    # Others believe its silence by what it promised. A promise that ends
-    # with its batch, before the next heartbeat came, would make it look dead.
+    # Others measure its silence by the interval that it announced. If it
+    # changed the interval when its batch ended, but sent no heartbeat within
+    # the announced one, it would look dead.
     world = WatchWorld(LARGE)
     urgent = True
     owner = Daemon(world, world.owner)
--- a/quetzalcourse/tests/coordination/batches/placement_tests.py
+++ b/quetzalcourse/tests/coordination/batches/placement_tests.py
@@ -1,4 +1,4 @@
-"""Which upstream runs an item, replayed under the loads that hurt."""
+"""Tests of item placement and migration under difficult loads."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class World:
-    """Engines of one service, and what places items on them."""
+    """Engines of one service, and the placement of items on them."""
 
     def __init__(self, count: int = 6) -> None:
-        """Begin with empty engines at version 1."""
+        """Start with idle engines at version 1."""
         self.clock = FakeClock()
         self.pool = Pool('hall-a', self.clock, Counters())
         allocator, _ = build_allocator(self.pool, self.clock)
@@ -59,7 +59,7 @@
     def place(
         self, count: int, request: PlacementRequest = NEED
     ) -> Counter[str]:
-        """Place items, and count where they went."""
+        """Place items, and count them by engine."""
         placed: Counter[str] = Counter()
         for _ in range(count):
             upstream = self.placement.choose(request)
@@ -70,27 +70,27 @@
         return placed
 
     def set_token_latency(self, number: int, seconds: float) -> None:
-        """Let an engine's streams have a token latency."""
+        """Set the measured token latency of an engine."""
         for _ in range(MIN_LATENCY_READINGS * 5):
             self.pool.on_token_latency(self.find(number), seconds)
 
 
 def test_burst_spreads_over_all_engines() -> None:
-    # A batch of 48 items arrives at once. All on one engine they would queue
-    # there for seconds while five others stand empty.
+    # A batch of 48 items arrives at once. On a single engine they would queue
+    # for seconds while five others are idle.
     placed = World().place(48)
     assert set(placed.values()) == {8}
 
 
 def test_item_without_a_free_slot_is_not_placed() -> None:
-    # Three batches arrive within a second, more than all slots. What waits
-    # in an engine's queue can't be moved or overtaken.
+    # Three batches arrive within a second, with more items than slots. An item
+    # in an engine's queue can't be moved or reordered.
     placed = World().place(100)
     assert placed['nowhere'] == 100 - 6 * SLOTS
 
 
 def test_load_from_other_daemons_counts() -> None:
-    # Another daemon filled an engine; its answers tell the load.
+    # Another daemon filled an engine, as its load reports show.
     world = World(2)
     world.pool.on_load(world.find(0), LoadReport(SLOTS, 3, SLOTS))
     assert world.place(4) == {'e-1': 4}
@@ -99,8 +99,8 @@
 
 
 def test_slow_engine_is_filled_last() -> None:
-    # One engine turned four times slower. Items there would end after the
-    # step is due; with all others full it is still better than none.
+    # One engine became four times slower. Items there would end after the
+    # step is due, but it is still better than none when all others are full.
     world = World(3)
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
         world.set_token_latency(number, token_latency)
@@ -109,8 +109,8 @@
 
 
 def test_slightly_slower_engine_is_filled_after_the_others() -> None:
-    # One engine in three is a third slower, as machines differ. Long items
-    # that run there while others have slots end a second later.
+    # One engine in three is a third slower, since machines differ. Long items
+    # that run there while others have free slots end a second later.
     world = World(3)
     for number, token_latency in enumerate((0.042, 0.032, 0.033)):
         world.set_token_latency(number, token_latency)
@@ -119,8 +119,8 @@
 
 
 def test_item_migrates_from_a_slow_engine_only_to_a_free_fast_one() -> None:
-    # An item runs on an engine that turned slow. It moves while others have
-    # room, and stays while they are full: moving costs its prompt again.
+    # An item runs on an engine that became slow. It migrates while others have
+    # free slots, and stays while they are full: a migration repeats prefill.
     world = World(3)
     for number, token_latency in enumerate((0.16, 0.04, 0.04)):
         world.set_token_latency(number, token_latency)
@@ -136,9 +136,9 @@
 
 
 def test_only_as_many_items_migrate_as_slots_are_free() -> None:
-    # Ten items run on an engine that turned slow, and two slots are free
-    # elsewhere beside the one that is spared. Were all ten to leave, eight
-    # would come back and stand still meanwhile, again and again.
+    # Ten items run on an engine that became slow, and two slots are free
+    # elsewhere besides the spare one. If all ten left, eight would return
+    # without progress, again and again.
     world = World(2)
     world.set_token_latency(0, 0.16)
     world.set_token_latency(1, 0.04)
@@ -156,9 +156,9 @@
 
 
 def test_long_item_migrates_from_a_slightly_slower_engine() -> None:
-    # An engine is a third slower than the rest, as machines differ. An item
-    # of a hundred events has about as many to come, which is a second; for
-    # one that has just begun the move costs more than it gains.
+    # An engine is a third slower than the rest, since machines differ. An item
+    # with a hundred events has about as many to come, which gains a second;
+    # for one that has just started a migration costs more than it gains.
     world = World(2)
     world.set_token_latency(0, 0.042)
     world.set_token_latency(1, 0.032)
@@ -171,9 +171,9 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_item_does_not_migrate_between_similar_engines(seed: int) -> None:
-    # Of many engines that are alike, another one looks fastest each moment.
-    # A long item that followed moved up to fifty times, and each move opened
-    # a connection and had its text read again.
+    # Among many similar engines, another one looks fastest at each moment. A
+    # long item that followed would migrate up to fifty times, each time with
+    # a new connection and another prefill of its text.
     world = World(25)
     noise = random.Random(seed)
     here = world.find(0)
@@ -190,7 +190,7 @@
 
 
 def test_slowdown_is_detected_within_a_second() -> None:
-    """Readings of six streams are enough to tell."""
+    """Readings of six streams are enough."""
     world = World(25)
     for number in range(25):
         world.set_token_latency(number, 0.038)
@@ -203,8 +203,8 @@
 
 
 def test_pause_for_a_weight_load_does_not_count_as_latency() -> None:
-    # A load stops all streams of an engine for 0.9 s. Counted as its
-    # latency, all its items would leave it just when it goes on.
+    # A weight load pauses all streams of an engine for 0.9 s. If that counted
+    # as latency, all its items would migrate just when it continues.
     reader = TokenLatencyReader()
     readings = [
         reader.read(timedelta(milliseconds=at), 1)
@@ -217,8 +217,8 @@
 
 
 def test_few_latency_readings_cause_no_migration() -> None:
-    # The first events of a burst come unevenly, since prompts are read
-    # between them. Items moved on that would start a wave of moves.
+    # The first events of a burst arrive unevenly, since prefill runs between
+    # them. If items migrated on that, many would migrate at once.
     world = World(3)
     for number in (1, 2):
         world.set_token_latency(number, 0.04)
@@ -230,8 +230,8 @@
 
 
 def test_engines_with_old_or_loading_weights_are_not_eligible() -> None:
-    # A step must not be made with weights older than it asks for, and an
-    # engine that loads refuses its model.
+    # A step must not use weights older than it asks for, and an engine that
+    # loads weights refuses that model.
     world = World(3)
     new = PlacementRequest('engines', 'verse', 2)
     assert world.place(1, new) == {'nowhere': 1}
@@ -247,16 +247,16 @@
 
 
 def test_items_spread_over_hundreds_of_engines() -> None:
-    # A step of a thousand samples arrives at 890 engines. Weighing all of
-    # them for each item would stop the loop for ten seconds, so some are
-    # drawn, and the items still spread almost evenly.
+    # A step of a thousand samples arrives at 890 engines. Comparing all of
+    # them for each item would block the event loop for ten seconds, so a
+    # sample is compared, and the items still spread almost evenly.
     placed = World(MANY).place(MANY)
     assert 'nowhere' not in placed
     assert max(placed.values()) <= 3
 
 
 def test_number_of_weighed_engines_is_limited() -> None:
-    # The time for an item must not grow with the engines.
+    # The time to place an item must not grow with the number of engines.
     world = World(MANY)
     assert len(world.placement.list_eligible(NEED)) == MAX_CANDIDATES
     assert len(World(6).placement.list_eligible(NEED)) == 6
--- a/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
+++ b/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
@@ -1,4 +1,4 @@
-"""How soon a caller who waits for results gets to know of them."""
+"""Tests that waiting callers get new results without delay."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from quetzalcourse.tests.peers import FakeMembers, FakeNetwork
 
 OWNER, READER = COORDINATORS[:2]
-# A caller lets its read wait for as long; the feed says nothing meanwhile.
+# Longest wait of a read; the feed delivers nothing meanwhile.
 WAIT = timedelta(seconds=20)
 RESULT = ItemResult('i', ResultState.completed, 'text', [1], '')
 
 
 class FakeRows:
-    """Results that stand in the store.
+    """Results in the store.
 
-    ``looks_in_vain`` reads come just before them.
+    The next ``empty_reads`` reads come just before the results.
     """
 
     def __init__(self) -> None:
-        """Begin without results."""
+        """Initialise without results."""
         self.results: list[ItemResult] = []
         self.empty_reads = 0
 
     async def read_results(self, batch: str, known: int) -> Any:
-        """Read those behind the known ones."""
+        """Read the results after the known ones."""
         if self.empty_reads:
             self.empty_reads -= 1
             return Ok([])
@@ -45,10 +45,10 @@
 
 
 class World:
-    """The owner of a batch, and another daemon at which its caller reads."""
+    """The owner of a batch, and another daemon where its caller reads."""
 
     def __init__(self) -> None:
-        """Begin with a batch without results."""
+        """Start with a batch without results."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.rows = FakeRows()
@@ -57,7 +57,7 @@
         _, self.reader = self._build(READER, {})
 
     async def commit(self) -> None:
-        """Let a result stand, and tell of it."""
+        """Commit a result, and report it to the listener."""
         self.rows.results.append(RESULT)
         self.run.committed += 1
         self.owner.on_committed('b', self.run.committed - 1, [RESULT])
@@ -88,8 +88,8 @@
 
 async def test_waiting_caller_is_notified_at_once() -> None:
     # A trainer waits at one of hundreds of daemons for the last item of its
-    # step. The daemon learned of it a second later, by the feed, and each
-    # step of the trainer began as much later.
+    # step. Through the feed alone that daemon gets the result a second later,
+    # which delays the next step as much.
     world = World()
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
@@ -99,8 +99,8 @@
 
 
 async def test_result_committed_before_the_subscription_is_notified() -> None:
-    # The result is committed after the daemon has looked into the store and
-    # before its question arrives. The caller would wait for the next one.
+    # The result is committed after the daemon has read the store and before
+    # its subscription arrives. The caller would wait for the next result.
     world = World()
     world.rows.empty_reads = 1
     world.rows.results.append(RESULT)
@@ -112,7 +112,7 @@
 
 
 async def test_expired_subscription_gets_no_notifications() -> None:
-    """A caller that gave up costs no message with each later commit."""
+    """A caller that gave up costs no further messages."""
     world = World()
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
--- a/quetzalcourse/tests/coordination/batches/runner_tests.py
+++ b/quetzalcourse/tests/coordination/batches/runner_tests.py
@@ -1,4 +1,4 @@
-"""Items that move: their slots, and upstreams that go meanwhile."""
+"""Tests of item migration: slots, and upstreams that leave meanwhile."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 
 SLOTS = 4
 EVENTS = 40
-# Items are looked after each 50 ms.
+# Longer than two dispatch intervals of 50 ms.
 ROUND_SECONDS = 0.12
 
 
 class BlockingItemRunner:
-    """Upstreams that send some events and wait for a test to go on."""
+    """Item runner whose attempts send some events and then block."""
 
     def __init__(self) -> None:
-        """Begin without attempts."""
+        """Initialise without attempts."""
         self.attempts: list[tuple[str, str]] = []
         self.proceed = asyncio.Event()
 
@@ -57,7 +57,7 @@
         run: ItemRun,
         upstream: Upstream,
     ) -> None:
-        """Take events once; the next one ends an attempt that moves."""
+        """Append the events on the first attempt, then wait to proceed."""
         self.attempts.append((upstream.name, run.resume_after))
         if run.last_event is None:
             for number in range(1, EVENTS + 1):
@@ -67,7 +67,7 @@
 
 
 class StubWriter:
-    """Store that is never written."""
+    """Batch writer that never writes."""
 
     async def commit(self, batch: BatchRun) -> bool:
         """Wait for results that never come."""
@@ -75,7 +75,7 @@
         return True
 
     async def save_partials(self, batch: BatchRun, partials: Any) -> None:
-        """Take texts and forget them."""
+        """Discard the texts."""
 
 
 def build_member(name: str, **changes: Any) -> PoolMember:
@@ -93,10 +93,10 @@
 
 
 class World:
-    """A runner with one item on an engine that turned slow."""
+    """A runner with one item on a slow engine."""
 
     def __init__(self) -> None:
-        """Begin with a slow engine only."""
+        """Start with a slow engine only."""
         clock = FakeClock()
         counters = Counters()
         self.pool = Pool('hall-a', clock, counters)
@@ -131,19 +131,19 @@
         self.clock = clock
 
     def set_token_latency(self, name: str, seconds: float) -> None:
-        """Let an engine's streams have a token latency."""
+        """Set the measured token latency of an engine."""
         upstream = self.pool.find(name)
         assert upstream is not None
         for _ in range(MIN_LATENCY_READINGS * 5):
             self.pool.on_token_latency(upstream, seconds)
 
     def count_running(self) -> dict[str, int]:
-        """Count the slots that are taken at each engine."""
+        """Count the used slots of each engine."""
         upstreams = self.pool.list_service(documents.ENGINES)
         return {one.name: one.running for one in upstreams}
 
     async def add_fast(self) -> None:
-        """Add a fast engine, and let the item see it."""
+        """Add a fast engine, and wait until a dispatch considers it."""
         self.pool.replace(build_member('fast'))
         self.set_token_latency('fast', 0.03)
         self.clock.move(MEDIAN_TTL)
@@ -152,7 +152,7 @@
 
 @pytest_asyncio.fixture
 async def world() -> AsyncIterator[World]:
-    """Run the item at the slow engine, and add a fast one."""
+    """Run the item on the slow engine, then add a fast one."""
     built = World()
     running = asyncio.ensure_future(built.runner.run())
     built.runner.add(built.batch)
@@ -164,8 +164,8 @@
 
 
 async def test_migrating_item_reserves_its_slot_first(world: World) -> None:
-    # An item leaves a slow engine with its next event. Until then its slot
-    # at the other engine is taken, so that no other item goes there.
+    # An item leaves a slow engine with its next event. Until then a slot at
+    # the other engine is reserved, so that no other item uses it.
     assert world.count_running() == {'slow': 1, 'fast': 1}
     world.items.proceed.set()
     await asyncio.sleep(ROUND_SECONDS)
@@ -178,10 +178,10 @@
     world: World,
     end: str,
 ) -> None:
-    # The other engine is drained, restarts or disappears between the moment
-    # at which the slot was taken and the item's next event. Sent there, the
-    # item would reach an engine that takes no work; counted there, the
-    # engine's next run would have a slot more than it has.
+    # The other engine drains, restarts or disappears between the reservation
+    # of the slot and the item's next event. If the item were sent there, it
+    # would reach an engine that accepts no work; if its slot were released
+    # there, the restarted engine would seem to have one slot too many.
     if end == 'leaves':
         world.pool.replace(build_member('fast', leaving=True))
     elif end == 'begins anew':
@@ -199,8 +199,8 @@
 
 
 async def test_dropped_batch_releases_both_slots(world: World) -> None:
-    # A batch ends while its item is about to move. A slot that stayed taken
-    # would be lost to all later items.
+    # A batch ends while its item is about to migrate. A slot that is not
+    # released would be lost to all later items.
     world.runner.drop('b', 'ended')
     await asyncio.sleep(ROUND_SECONDS)
     assert set(world.count_running().values()) == {0}
--- a/quetzalcourse/tests/coordination/batches/scoring_tests.py
+++ b/quetzalcourse/tests/coordination/batches/scoring_tests.py
@@ -1,4 +1,4 @@
-"""Where scoring calls go, and how long they may take."""
+"""Tests of the upstreams and timeouts of scoring calls."""
 
 from __future__ import annotations
 
@@ -36,7 +36,11 @@
 
 
 def build_route(target: int, timeout: int) -> Route:
-    """Build a route by its times in milliseconds."""
+    """Build a route.
+
+    :param target: target latency in milliseconds.
+    :param timeout: in milliseconds.
+    """
     return Route(
         'r',
         'verse.example',
@@ -51,8 +55,8 @@
 
 
 def test_burst_of_scores_leaves_slots_to_humans() -> None:
-    # Sixty texts end within a moment and all want their scores. Were every
-    # slot of the service theirs, a human's lookup would wait behind them.
+    # Sixty texts end at about the same time and need scores. If they could use
+    # every slot of the service, a human's lookup would queue behind them.
     upstreams = [build_upstream(f's-{number}') for number in range(4)]
     placed = 0
     for _ in range(60):
@@ -80,7 +84,7 @@
     age: float,
     room: bool,
 ) -> None:
-    """Word of others' requests counts as long as it is fresh."""
+    """Reports of other daemons count until they are outdated."""
     upstream = build_upstream('s', running)
     upstream.others = others
     upstream.others_at = NOW - timedelta(seconds=age)
@@ -88,21 +92,21 @@
 
 
 def test_single_slot_upstream_takes_a_scoring_call() -> None:
-    """One with a single slot has room for one call."""
+    """The share of a single slot is still one call."""
     upstream = Upstream(PoolMember('s', 'app', 's:1', 'hall', 1))
     assert has_capacity(upstream, NOW)
 
 
 def test_refusing_upstream_is_not_chosen() -> None:
-    # A full server refuses the call. Asked again at once it would only
-    # refuse again, and each refusal costs the server time.
+    # A full server refuses the call. An immediate retry would be refused too,
+    # and each refusal costs the server time.
     upstream = build_upstream('s')
     upstream.unavailable_until[''] = NOW + timedelta(seconds=1)
     assert choose_upstream([upstream], NOW, '') is None
 
 
 def test_leaving_upstream_is_not_chosen_and_ejected_one_last() -> None:
-    """One that leaves gets none; a resting one is better than none."""
+    """An ejected upstream is still better than none."""
     leaving = build_upstream('leaving', leaving=True)
     resting = build_upstream('resting')
     resting.ejected_until = NOW + timedelta(seconds=1)
@@ -113,7 +117,7 @@
 
 
 def test_failed_call_is_retried_at_another_upstream() -> None:
-    """Unless there is nowhere else."""
+    """Without another upstream, the call returns to the same one."""
     first, second = build_upstream('a'), build_upstream('b', running=2)
     assert choose_upstream([first, second], NOW, 'a') is second
     assert choose_upstream([first], NOW, 'a') is first
@@ -136,8 +140,8 @@
     failed_calls: int,
     expected: int,
 ) -> None:
-    # A server that turned slow never answers within the first timeout. With
-    # the same timeout for ever, its texts would never be scored.
+    # A server that became slow never answers within the first timeout. With a
+    # constant timeout its texts would never be scored.
     found = compute_timeout(
         build_route(target, timeout), failed_calls, AttemptTimeouts()
     )
@@ -145,8 +149,8 @@
 
 
 def test_complete_text_is_saved_as_complete() -> None:
-    # An owner dies between a text's end and its score. Its successor goes on
-    # with the score; it doesn't make the text again.
+    # An owner dies between the end of a text and its score. The next owner only
+    # repeats the scoring, and does not generate the text again.
     call = ScoringCall('c', 'verse.example', '/score/', b'')
     item = BatchItem('i', '/i', {}, b'', scoring=call)
     run = ItemRun(item, 0, ItemState.running, texts=['a'], last_event=1)
--- a/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
+++ b/quetzalcourse/tests/coordination/batches/slot_allocation_tests.py
@@ -1,4 +1,4 @@
-"""Coordinators that share the slots of upstreams, replayed under bursts."""
+"""Tests of the slot allocation between coordinators under bursts."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 class Coordinator:
-    """One coordinator, with its own view of the upstreams."""
+    """One coordinator with its own view of the upstreams."""
 
     def __init__(self, world: World, number: int) -> None:
-        """Begin with items that wait and no other coordinator."""
+        """Initialise without items and without other coordinators."""
         self.pool = Pool('hall-a', world.clock, Counters())
         for name in world.names:
             self.pool.replace(
@@ -62,12 +62,12 @@
         self.running: list[Upstream] = []
 
     def begin(self, items: int) -> None:
-        """Begin a batch."""
+        """Start a batch."""
         self.waiting += items
         self.updates.on_batch_start()
 
     def place(self) -> None:
-        """Place as many items as find a slot, and tell the others."""
+        """Place as many items as find a slot, and send an update."""
         while self.waiting:
             upstream = self.placement.choose(self.request)
             if upstream is None:
@@ -79,7 +79,7 @@
         self.updates.send_update(short if self.waiting else [])
 
     def finish(self, count: int) -> None:
-        """End some items, spread over the upstreams."""
+        """Finish some items, spread over the upstreams."""
         spread = max(len(self.running) // count, 1) if count else 1
         ended = set(range(0, spread * count, spread))
         for index, upstream in enumerate(self.running):
@@ -93,10 +93,10 @@
 
 
 class World:
-    """Two coordinators before the same upstreams."""
+    """Two coordinators that share upstreams."""
 
     def __init__(self) -> None:
-        """Begin with coordinators that had a batch lately."""
+        """Initialise the coordinators, which do not know each other yet."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.names = [f'e-{number}' for number in range(UPSTREAMS)]
@@ -105,7 +105,7 @@
         ]
 
     async def introduce_coordinators(self) -> None:
-        """Let the coordinators learn of each other by a batch each."""
+        """Let each coordinator run a batch, so that they know each other."""
         for coordinator in self.coordinators:
             coordinator.begin(1)
             coordinator.place()
@@ -115,15 +115,15 @@
         await self.pass_time(TICK)
 
     async def pass_time(self, duration: timedelta) -> None:
-        """Let messages arrive and time pass."""
+        """Deliver messages and advance the clock."""
         await settle()
         await self.clock.advance(duration)
 
     async def run_ticks(self, ticks: int, *, finished: int = 0) -> int:
         """Let both coordinators place their items for some ticks.
 
-        :param finished: items of each coordinator that end in each tick.
-        :returns: most items that an upstream had beyond its slots.
+        :param finished: items of each coordinator that finish in each tick.
+        :returns: largest number of items beyond the slots of the upstreams.
         """
         most = 0
         for _ in range(ticks):
@@ -143,15 +143,15 @@
         )
 
     def count_overcommitted(self) -> int:
-        """Count the items that wait inside upstreams."""
+        """Count the items that exceed the slots of their upstreams."""
         taken = self.count_used().values()
         return sum(max(count - SLOTS, 0) for count in taken)
 
 
 async def test_concurrent_steps_do_not_overcommit_upstreams() -> None:
-    # Two trainers submit within the same milliseconds. Items that their
-    # coordinators send to the same slots wait inside the upstreams for
-    # seconds, and a trainer waits for the longest of them.
+    # Two trainers submit within the same milliseconds. Items that both
+    # coordinators send to the same slots queue in the upstreams for seconds,
+    # and a trainer waits for the longest of them.
     world = World()
     await world.introduce_coordinators()
     for coordinator in world.coordinators:
@@ -161,7 +161,7 @@
 
 
 async def test_concurrent_steps_progress_evenly() -> None:
-    """Neither coordinator takes what becomes free at the other's upstreams."""
+    """Neither coordinator takes all slots that the other one releases."""
     world = World()
     await world.introduce_coordinators()
     for coordinator in world.coordinators:
@@ -172,8 +172,8 @@
 
 
 async def test_later_step_gets_its_share() -> None:
-    # One trainer has all slots when the other submits. Slots that become
-    # free would go on to the first one's waiting items.
+    # One trainer uses all slots when the other one submits. Without shares,
+    # released slots would go to the waiting items of the first one.
     world = World()
     await world.introduce_coordinators()
     first, second = world.coordinators
@@ -181,14 +181,14 @@
     await world.run_ticks(3)
     second.begin(ITEMS)
     await world.run_ticks(8, finished=10)
-    # Of the eighty items of the first one that ended meanwhile.
+    # Out of the slots of eighty items of the first one that finished meanwhile.
     assert ITEMS - second.waiting > 20
 
 
 async def test_overdue_step_has_priority_at_all_upstreams() -> None:
-    # A trainer is seconds late, and its older step waits at a coordinator of
-    # its own, as after a takeover. A newer step that had half of the slots
-    # would keep it late to the end of the day.
+    # A trainer is seconds late, and its older step waits at another
+    # coordinator than the newer one, as after a takeover. If the newer step
+    # kept half of the slots, the trainer would never catch up.
     world = World()
     await world.introduce_coordinators()
     newer, older = world.coordinators
@@ -199,13 +199,13 @@
     )
     older.begin(ITEMS)
     await world.run_ticks(8, finished=12)
-    # Of the items of the newer step that ended meanwhile, but for the ones
-    # whose slots were taken again before the older step was known.
+    # Out of the slots of the newer step's items that finished meanwhile,
+    # except those that were reused before the older step was known.
     assert ITEMS - older.waiting > 6 * 12
 
 
 async def test_single_step_uses_every_slot() -> None:
-    """Upstreams are kept for a coordinator only while it has items."""
+    """Slots are reserved for a coordinator only while it has items."""
     world = World()
     await world.introduce_coordinators()
     world.coordinators[0].begin(ITEMS)
@@ -214,8 +214,8 @@
 
 
 async def test_slots_of_a_dead_coordinator_are_released() -> None:
-    # The other coordinator dies with all its items. Slots kept for it would
-    # stand idle while steps wait.
+    # The other coordinator dies with all its items. Slots that stay reserved
+    # for it would be idle while steps wait.
     world = World()
     await world.introduce_coordinators()
     first, second = world.coordinators
@@ -232,8 +232,8 @@
 
 
 async def test_reserved_slot_that_stays_unused_is_released() -> None:
-    # An upstream failed at the coordinator that goes first there, so that it
-    # rests at that one. Kept for it all the same it would serve nobody.
+    # The upstreams failed for the coordinator with precedence there, which has
+    # ejected them. Slots that stay reserved for it would be idle.
     world = World()
     await world.introduce_coordinators()
     first, second = world.coordinators
@@ -246,7 +246,7 @@
 
 
 async def test_slots_of_others_wait_for_updates_only_at_the_start() -> None:
-    """The wait is a few milliseconds, and none at the own upstreams."""
+    """The wait takes milliseconds, and none where it has precedence."""
     world = World()
     await world.introduce_coordinators()
     coordinator = world.coordinators[0]
