--- a/quetzalcourse/tests/coordination/batches/coordinators_tests.py
+++ b/quetzalcourse/tests/coordination/batches/coordinators_tests.py
@@ -1,4 +1,4 @@
-"""Which daemon runs the batches of a model."""
+"""Tests of the choice of a model's coordinator."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     ]
 
 
-def test_all_daemons_of_a_data_centre_agree() -> None:
-    # A step comes in at another daemon each time. If these did not agree,
-    # each step would open its connections anew.
+def test_daemons_of_a_data_centre_agree_on_the_coordinator() -> None:
+    # Each step is submitted to another daemon. If the daemons disagreed on
+    # the coordinator, each step would open new connections.
     members = build_members(4)
     for model in MODELS:
         coordinators = {
@@ -35,9 +35,9 @@
         assert len(coordinators) == 1
 
 
-def test_models_spread_over_daemons() -> None:
-    # Many models are trained. One daemon that ran them all would be full
-    # while its neighbours stand idle.
+def test_models_are_spread_over_the_daemons() -> None:
+    # Many models are trained. If one daemon ran them all, it would be full
+    # while the others are idle.
     members = build_members(4)
     coordinators = Counter(
         find_coordinator(model, members[0], members).vm for model in MODELS
@@ -46,17 +46,17 @@
     assert max(coordinators.values()) < len(MODELS) / 2
 
 
-def test_home_is_on_the_own_side_of_a_cut() -> None:
-    """Daemons of other data centres are no coordinators."""
+def test_coordinator_is_in_the_own_data_centre() -> None:
+    """A daemon of another data centre is not eligible."""
     members = [*build_members(2), *build_members(6, 'hall-b')]
     for model in MODELS:
         coordinator = find_coordinator(model, members[0], members)
         assert coordinator.data_centre == 'hall-a'
 
 
-def test_weak_machine_is_no_home() -> None:
-    # A data centre has machines of half a core and of two. The streams of a
-    # whole model on half a core would hold up the callers there.
+def test_small_machine_is_no_coordinator() -> None:
+    # A data centre has machines with half a core and with two. The streams of
+    # a whole model on half a core would delay the callers of that daemon.
     weak, strong = build_members(2)
     members = [replace(weak, cores=0.5), replace(strong, cores=2.0)]
     assert {find_coordinator(one, weak, members).vm for one in MODELS} == {
@@ -64,8 +64,8 @@
     }
 
 
-def test_home_changes_only_with_its_daemon() -> None:
-    # A daemon leaves. The models that others run stay where their
+def test_coordinator_changes_only_if_its_daemon_leaves() -> None:
+    # When a daemon leaves, the models of the others stay where their
     # connections are.
     members = build_members(5)
     before = {one: find_coordinator(one, members[0], members) for one in MODELS}
@@ -75,8 +75,8 @@
             assert find_coordinator(model, members[0], rest) == coordinator
 
 
-def test_lone_daemon_is_its_own_home() -> None:
-    """Also while it knows of nobody, not even itself."""
+def test_lone_daemon_is_its_own_coordinator() -> None:
+    """This also holds while its list of live members is empty."""
     own = build_members(1)[0]
     assert find_coordinator('verse', own, [own]) == own
     assert find_coordinator('verse', own, []) == own
--- a/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
+++ b/quetzalcourse/tests/coordination/batches/result_notifications_tests.py
@@ -1,4 +1,4 @@
-"""How soon a caller who waits for results gets to know of them."""
+"""Tests that waiting callers get new results without delay."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 from quetzalcourse.tests.peers import FakeMembers, FakeNetwork
 
 OWNER, READER = COORDINATORS[:2]
-# A caller lets its read wait for as long; the feed says nothing meanwhile.
+# Longest wait of a read; the feed delivers nothing meanwhile.
 WAIT = timedelta(seconds=20)
 RESULT = ItemResult('i', ResultState.completed, 'text', [1], '')
 
 
 class FakeRows:
-    """Results that stand in the store.
+    """Results in the store.
 
-    ``looks_in_vain`` reads come just before them.
+    The next ``empty_reads`` reads come just before the results.
     """
 
     def __init__(self) -> None:
-        """Begin without results."""
+        """Initialise without results."""
         self.results: list[ItemResult] = []
-        self.looks_in_vain = 0
+        self.empty_reads = 0
 
     async def read_results(self, batch: str, known: int) -> Any:
-        """Read those behind the known ones."""
-        if self.looks_in_vain:
-            self.looks_in_vain -= 1
+        """Read the results after the known ones."""
+        if self.empty_reads:
+            self.empty_reads -= 1
             return Ok([])
         return Ok(self.results[known:])
 
 
 class World:
-    """The owner of a batch, and another daemon at which its caller reads."""
+    """The owner of a batch, and another daemon where its caller reads."""
 
     def __init__(self) -> None:
-        """Begin with a batch without results."""
+        """Start with a batch without results."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.rows = FakeRows()
@@ -57,7 +57,7 @@
         _, self.reader = self._build(READER, {})
 
     async def commit(self) -> None:
-        """Let a result stand, and tell of it."""
+        """Commit a result, and report it to the listener."""
         self.rows.results.append(RESULT)
         self.run.committed += 1
         self.owner.on_committed('b', self.run.committed - 1, [RESULT])
@@ -86,10 +86,10 @@
         return notifications, reader
 
 
-async def test_waiting_caller_knows_at_once() -> None:
+async def test_waiting_caller_is_notified_at_once() -> None:
     # A trainer waits at one of hundreds of daemons for the last item of its
-    # step. The daemon learned of it a second later, by the feed, and each
-    # step of the trainer began as much later.
+    # step. Through the feed alone that daemon gets the result a second later,
+    # which delays the next step as much.
     world = World()
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
@@ -98,11 +98,11 @@
     assert (await reading).unwrap() == [RESULT]
 
 
-async def test_result_that_came_before_the_question_is_told() -> None:
-    # The result is committed after the daemon has looked into the store and
-    # before its question arrives. The caller would wait for the next one.
+async def test_result_committed_before_the_subscription_is_notified() -> None:
+    # The result is committed after the daemon has read the store and before
+    # its subscription arrives. The caller would wait for the next result.
     world = World()
-    world.rows.looks_in_vain = 1
+    world.rows.empty_reads = 1
     world.rows.results.append(RESULT)
     world.run.committed = 1
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
@@ -111,8 +111,8 @@
     assert reading.result().unwrap() == [RESULT]
 
 
-async def test_owner_forgets_who_waits_no_more() -> None:
-    """A caller that gave up costs no message with each later commit."""
+async def test_expired_subscription_gets_no_notifications() -> None:
+    """A caller that gave up costs no further messages."""
     world = World()
     reading = asyncio.ensure_future(world.reader.read('b', 0, WAIT))
     await settle()
