--- a/quetzalcourse/coordination/leases/__init__.py
+++ b/quetzalcourse/coordination/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases with fencing tokens, and keeping them renewed."""
+"""Leases with fencing tokens, and the leader election that renews them."""
--- a/quetzalcourse/coordination/leases/leader_elector.py
+++ b/quetzalcourse/coordination/leases/leader_elector.py
@@ -1,4 +1,4 @@
-"""Pursues a lease for as long as a daemon runs, and tells who holds it."""
+"""Leader election: renews or acquires a lease as long as the daemon runs."""
 
 from __future__ import annotations
 
@@ -27,37 +27,37 @@
 
 
 def rank_member(key: str, own: Member, live: list[Member]) -> int:
-    """Tell a daemon's place among the contenders for a lease.
+    """Return a daemon's rank among the contenders for a lease.
 
     :param key: name of the lease.
     :param live: daemons that may contend for it.
     """
-
     own_weight = rendezvous_weight(key, own)
     return sum(rendezvous_weight(key, member) < own_weight for member in live)
 
 
 def choose_candidates(key: str, live: list[Member]) -> list[Member]:
-    """List the contenders that watch a lease closely."""
+    """List the contenders that poll a lease frequently."""
     ranked = sorted(live, key=lambda member: rendezvous_weight(key, member))
     return ranked[:ACTIVE_CANDIDATES]
 
 
 def rendezvous_weight(key: str, member: Member) -> int:
-    """Give a daemon a weight that every daemon works out alike."""
+    """Compute a daemon's rendezvous weight, the same on every daemon."""
     text = f'{key} {member.incarnation}'
     return xxhash.xxh32_intdigest(text.encode())
 
 
 class LeaderElector:
-    """Renews a lease, or waits for it.
+    """Renews a lease, or polls until it can be acquired.
 
-    Were all daemons to watch every lease closely, the store's reads would
-    grow with the daemons. So a few that all agree on watch closely, and the
-    rest so seldom that together they cost the same at any number.
+    If all daemons polled every lease frequently, the store's reads would grow
+    with the number of daemons. So a few that all daemons agree on poll
+    frequently, and the rest so rarely that their total cost does not depend on
+    their number.
 
-    :param members: the live daemons, which this one's rank is found among.
-    :param data_centre: where contenders must be, or empty for anywhere.
+    :param members: the live daemons, among which this one is ranked.
+    :param data_centre: data centre of the contenders, or empty for any.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         counters: Counters,
         data_centre: str = '',
     ) -> None:
-        """Keep the parts; the lease is not held yet."""
+        """Keep the components; the lease is not held yet."""
         self.lease = lease
         self._members = members
         self._clock = clock
@@ -79,11 +79,11 @@
         self._listeners: list[Callable[[], None]] = []
 
     def on_held(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever this daemon has taken the lease."""
+        """Call a listener whenever this daemon acquires the lease."""
         self._listeners.append(listener)
 
     async def run(self) -> None:
-        """Pursue the lease until the task is cancelled."""
+        """Renew or try to acquire the lease until cancelled."""
         while True:
             if not self._stopped:
                 await self.lease.acquire_or_renew()
@@ -91,16 +91,16 @@
             await self._clock.sleep(self.get_poll_interval())
 
     def stop_renewing(self) -> None:
-        """Pursue the lease no more; a held one runs out or is released."""
+        """Stop renewing and contending; a held lease expires or is released."""
         self._stopped = True
 
     async def release(self) -> None:
-        """Give the lease up, so that the next holder starts at once."""
+        """Release the lease, so that the next holder can start at once."""
         await self.lease.release()
         self.publish()
 
     def get_poll_interval(self) -> timedelta:
-        """Tell how long to wait before the lease is looked at again."""
+        """Return the time until the next renewal or poll."""
         terms = self.lease.terms
         if self.lease.held:
             return terms.term / RENEWALS_PER_TERM
@@ -115,7 +115,7 @@
         )
 
     def publish(self) -> None:
-        """Show in the metrics who holds the lease."""
+        """Publish the state of the lease in the metrics."""
         status = self.lease.describe()
         for state in LeaseState:
             self._counters.set(
@@ -138,8 +138,10 @@
                 silent_seconds=status.silent_seconds,
             )
         elif status.state is LeaseState.held:
-            lease_log.info('Lease is held here.')
+            lease_log.info('This daemon holds the lease.')
             for listener in self._listeners:
                 listener()
         else:
-            lease_log.info('Lease is held elsewhere.', holder=status.holder)
+            lease_log.info(
+                'Another daemon holds the lease.', holder=status.holder
+            )
--- a/quetzalcourse/coordination/leases/lease.py
+++ b/quetzalcourse/coordination/leases/lease.py
@@ -1,4 +1,4 @@
-"""Leases in the platform's table, with fencing tokens."""
+"""Leases with fencing tokens, kept in the platform's table."""
 
 from __future__ import annotations
 
@@ -37,46 +37,46 @@
 
 
 def encode_record(record: LeaseRecord) -> bytes:
-    """Write a record as the bytes of its row."""
+    """Encode a record as the content of its row."""
     return msgspec.json.encode(record)
 
 
 def decode_record(row: Row) -> LeaseRecord:
-    """Read a record from its row."""
+    """Decode the record of a row."""
     return msgspec.json.decode(row.content, type=LeaseRecord)
 
 
 def is_never_predecessor(_: str) -> bool:
-    """Name nobody as an earlier run of this contender."""
+    """Return false: no holder is an earlier run of this contender."""
     return False
 
 
 def decode_token(fence: Row | None) -> int:
-    """Tell the highest token that a fence row has seen."""
+    """Decode the highest token of a fence row, 0 if it is absent."""
     if fence is None:
         return 0
     return msgspec.json.decode(fence.content, type=FenceRecord).token
 
 
 class RowObserver:
-    """How long a row has been seen unchanged, by the observer's own clock.
+    """Measures how long a row stays unchanged, by the observer's own clock.
 
-    A row's version only grows, so two readings of the same version mean
-    that nothing was written between them, however far apart they are.
+    A row's version only grows, so two reads of the same version mean that
+    nothing was written in between, however far apart they are.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without an observation."""
+        """Create without an observation."""
         self._clock = clock
         self._version = UNKNOWN_VERSION
         self._unchanged_since = clock.elapsed()
 
     def observe(self, version: int) -> timedelta:
-        """Tell how long a row has stood at a version.
+        """Return how long a row has stayed at a version.
 
-        To be called after the answer came: the holder sent its renewal
-        before the table could show it, so counting from here on can only
-        wait too long, never too short.
+        Call this after the answer arrived: the holder sent its renewal before
+        the table could show it, so counting from this point can make the wait
+        too long, but never too short.
 
         :param version: version that was just read.
         """
@@ -90,13 +90,13 @@
 class Lease:
     """One contender for one lease.
 
-    :param table: where the lease's rows are kept.
-    :param clock: the contender's own clock; no two need agree.
+    :param table: stores the lease's rows.
+    :param clock: the contender's own clock; clocks need not agree.
     :param key: name of the row.
     :param holder: incarnation of this process.
     :param terms: term and margin.
-    :param fence_key: name of the row that holds the token alone, where the
-        table wants it near the lease's own.
+    :param fence_key: name of the row that holds only the token, for tables that
+        require it near the lease's own row.
     """
 
     def __init__(
@@ -108,15 +108,15 @@
         terms: LeaseTerms,
         fence_key: str = '',
     ) -> None:
-        """Begin without the lease and without an observation."""
+        """Create without the lease and without an observation."""
         self.key = key
         self.fence_key = fence_key or f'fence/{key}'
         self.token = 0
         self.terms = terms
         self._table = table
         self._clock = clock
-        # Two contenders of one process would otherwise take each other's
-        # row for their own, and both would hold the lease.
+        # Without the number, two contenders of one process would mistake each
+        # other's row for their own, and both would hold the lease.
         self._name = f'{holder}:{next(_CONTENDER_NUMBERS)}'
         self._row_observer = RowObserver(clock)
         self._claimed_token = 0
@@ -140,17 +140,18 @@
 
     @property
     def held_for(self) -> timedelta:
-        """How long ago this contender took the lease that it holds."""
+        """Time since this contender acquired the lease that it holds."""
         if not self.held:
             return timedelta(0)
         return self._clock.elapsed() - self._acquired_at
 
     @property
     def may_send(self) -> bool:
-        """Whether an order may go out at this instant.
+        """Whether an order may be sent at this instant.
 
-        It stops one order timeout before the lease ends, so that a receiver
-        that ignores tokens has acted or given up when the next holder sends.
+        Sending stops one order timeout before the lease expires, so that a
+        receiver that ignores tokens has acted or given up when the next holder
+        sends.
         """
         if self._expires_at is None:
             return False
@@ -160,22 +161,22 @@
 
     @property
     def remaining(self) -> timedelta:
-        """How long orders may still go out."""
+        """Remaining time in which orders may be sent."""
         if self._expires_at is None:
             return timedelta(0)
         last = self._expires_at - self.terms.order_timeout
         return max(timedelta(0), last - self._clock.elapsed())
 
     def fence_condition(self) -> Condition:
-        """Give the condition that fails once another holder took over.
+        """Return the condition that fails once another holder took over.
 
-        It names the fence row, which renewals leave alone, so that neither
-        a renewal under way nor one whose answer was lost fails a commit.
+        It names the fence row, which renewals do not change, so that neither a
+        renewal in progress nor one whose answer was lost fails a commit.
         """
         return Condition(self.fence_key, self._fence_version)
 
     def describe(self) -> LeaseStatus:
-        """Tell who holds the lease, as far as this contender knows."""
+        """Return the state of the lease, as far as this contender knows."""
         silent = self._clock.elapsed() - self._store_answered_at
         state = LeaseState.other
         if self.held:
@@ -195,7 +196,7 @@
         )
 
     async def acquire_or_renew(self) -> bool:
-        """Renew the lease, or take it if its holder has gone.
+        """Renew the lease, or acquire it if its holder is gone.
 
         :returns: whether the lease is held afterwards.
         """
@@ -212,14 +213,14 @@
         return await self._try_acquire(row)
 
     async def release(self) -> None:
-        """Give the lease up, so that the next holder need not wait.
+        """Release the lease, so that the next holder need not wait.
 
-        Orders under way must have been answered or have timed out before.
+        Orders in progress must have been answered or have timed out before.
         """
         was_held = self.held
         token = self._claimed_token
-        # The claim goes first: the answer to a renewal that is still under
-        # way would otherwise bring the lease back after its release.
+        # The claim is cleared first: otherwise the answer to a renewal in
+        # progress would restore the lease after its release.
         self._claimed_token = 0
         self._expires_at = None
         self._confirmed_row = None
@@ -229,8 +230,8 @@
                 break
 
     async def _try_release(self, token: int) -> bool:
-        # The row is read first: a renewal whose answer was lost has moved
-        # its version on, and a release against the old one would fail.
+        # The row is read first: a renewal whose answer was lost has advanced
+        # its version, and a release against the old version would fail.
         answer = await self._table.read(self.key)
         if isinstance(answer, Err):
             return False
@@ -254,8 +255,8 @@
         self._observed = decode_record(row) if row else LeaseRecord('', 0, 0)
         self._highest_token = max(self._highest_token, self._observed.token)
         unchanged = self._row_observer.observe(row.version if row else ABSENT)
-        # What ran on this VM before is certainly over, and its successor
-        # need not wait for it.
+        # The process that ran on this VM before has certainly ended, and its
+        # successor need not wait for it.
         is_successor = self.is_predecessor(self._observed.holder)
         self._holder_expired = is_successor or unchanged >= self.terms.wait
 
@@ -270,16 +271,16 @@
         if isinstance(answer, Err):
             return False
         fence = answer.ok_value
-        # A row that someone deleted says nothing of its holder, who still
-        # counts on its term; only a lease without a fence was never held.
+        # A deleted row says nothing about its holder, who still relies on its
+        # term; only a lease without a fence row was never held.
         if row is None and fence is not None and not self._holder_expired:
             return False
         self._highest_token = max(self._highest_token, decode_token(fence))
         return await self._write_claim(row, fence)
 
     async def _write_claim(self, row: Row | None, fence: Row | None) -> bool:
-        # The claim is kept before it is sent: with its answer lost, only
-        # the token in the row tells that the lease is this contender's.
+        # The claim is stored before it is sent: if its answer is lost, only the
+        # token in the row shows that the lease is this contender's.
         self._claimed_token = self._highest_token + 1
         self._acquired_at = self._clock.elapsed()
         self._fence_version = UNKNOWN_VERSION
@@ -321,7 +322,7 @@
         transaction: Transaction,
     ) -> bool:
         # The term counts from before the write was sent: the store may have
-        # applied it at once and a contender may have seen it at once.
+        # applied it at once, and a contender may have seen it at once.
         sent_at = self._clock.elapsed()
         answer = await self._table.transact(transaction)
         if record.token != self._claimed_token:
@@ -340,8 +341,8 @@
         return self.held
 
     def _on_conflict(self, conflicts: tuple[Row, ...]) -> None:
-        # A conflict confirms nothing, so it never extends the term; it may
-        # be this contender's own write whose answer was lost.
+        # A conflict confirms nothing, so it never extends the term; it may be
+        # caused by this contender's own write whose answer was lost.
         self._confirmed_row = None
         for row in conflicts:
             if row.key == self.key and row.content:
@@ -359,8 +360,8 @@
         self._expires_at = expires_at
         self._observed = record
         self._store_answered_at = self._clock.elapsed()
-        # The first version of a row is the table's to choose; it may go on
-        # from that of a row deleted before.
+        # The table chooses the first version of a row; it may continue from the
+        # version of a row that was deleted before.
         self._confirmed_row = None
         if row is not None:
             content = encode_record(record)
