--- a/quetzalcourse/tests/coordination/leases/lease_tests.py
+++ b/quetzalcourse/tests/coordination/leases/lease_tests.py
@@ -1,4 +1,4 @@
-"""Leases: never two holders, and what ends or outlasts a term."""
+"""Tests that a lease never has two holders, and of what ends its term."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class ContenderPair:
-    """Two contenders, each with a clock of its own."""
+    """Two contenders, each with its own clock."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         )
 
     def move(self, seconds: float) -> None:
-        """Move both clocks."""
+        """Advance both clocks."""
         for clock in self.clocks:
             clock.move(timedelta(seconds=seconds))
 
 
 async def commit_under_lease(store: FakeStore, lease: Lease) -> bool:
-    """Write a row on the condition that a lease still holds."""
+    """Write a row on the condition that a lease is still held."""
     answer = await store.transact(
         Transaction((lease.fence_condition(),), (Write('work', b''),))
     )
@@ -76,9 +76,9 @@
 async def test_lost_renewal_answer_neither_extends_term_nor_fails_commits() -> (
     None
 ):
-    # The store applies a renewal and its answer is lost. A holder that
-    # counted it would outlast its term; one that kept the old version would
-    # find its commits refused, and its renewals too, until the term ran out.
+    # The store applies a renewal and its answer is lost. A holder that counted
+    # it would outlast its term; one that kept the old version would have its
+    # commits and renewals refused until the term ran out.
     pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     pair.move(8)
@@ -96,8 +96,9 @@
 
 
 async def test_acquisition_with_lost_answer_is_recognised_in_row() -> None:
-    # The first write of a new holder takes effect unheard. If it did not
-    # know its own claim again, everyone would wait for a holder that is not.
+    # A new holder's first write takes effect, but its answer is lost. If it did
+    # not recognise its own claim, everyone would wait for a holder that does
+    # not exist.
     pair = ContenderPair()
     pair.store.write_faults.append('lost_after')
     assert not await pair.first.acquire_or_renew()
@@ -108,9 +109,9 @@
 
 @pytest.mark.parametrize('fault', ['', 'lost_after', 'lost_before'])
 async def test_release_lets_next_holder_start_at_once(fault: str) -> None:
-    # A daemon stops in good order just after a renewal whose answer was
-    # lost, and the release's own answer may be lost as well. Without a
-    # second try, orders would stand still for a whole term.
+    # A daemon shuts down just after a renewal whose answer was lost, and the
+    # release's own answer may be lost as well. Without a second attempt, no
+    # orders would be sent for a whole term.
     pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     pair.store.write_faults.append('lost_after')
@@ -124,8 +125,8 @@
 
 
 async def test_contender_with_name_of_holder_waits_for_the_term() -> None:
-    # A restarted daemon, or a second task of one daemon, contends under a
-    # name that the row already bears, while the first may still be sending.
+    # A restarted daemon, or a second task of one daemon, contends under the
+    # name in the row, while the first may still be sending.
     pair = ContenderPair(('same', 'same'))
     assert await pair.first.acquire_or_renew()
     assert not await pair.second.acquire_or_renew()
@@ -138,9 +139,9 @@
 
 
 async def test_deleted_row_neither_shortens_wait_nor_resets_tokens() -> None:
-    # An operator deletes the row while its holder is at work. A contender
-    # that took an absent row as free would send beside the holder, and with
-    # a token that receivers have already seen.
+    # An operator deletes the row of a held lease. A contender that treated an
+    # absent row as free would send at the same time as the holder, and with a
+    # token that receivers have already seen.
     pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     await pair.store.transact(Transaction((), (Write(KEY, None),)))
@@ -152,8 +153,8 @@
 
 
 async def test_store_outage_past_term_leaves_no_holder() -> None:
-    # The store goes down. Whoever looks at any daemon must see that nobody
-    # gives orders, and the holder itself must stop.
+    # The store goes down. Every daemon must report that nobody holds the lease,
+    # and the holder itself must stop.
     pair = ContenderPair()
     assert await pair.first.acquire_or_renew()
     assert not await pair.second.acquire_or_renew()
@@ -172,8 +173,8 @@
 
 async def test_term_starts_before_the_renewal_is_sent() -> None:
     # The store applies a renewal at once and answers four seconds later.
-    # Contenders saw it at once, so a holder that counted from the answer
-    # would still send when the next one begins.
+    # Contenders saw it at once, so a holder that counted from the answer would
+    # still send when the next one starts.
     table = GatedTable(FakeStore())
     clock = FakeClock()
     lease = Lease(table, clock, KEY, 'daemon', TERMS)
@@ -191,8 +192,9 @@
 
 
 async def test_late_renewal_answer_does_not_undo_release() -> None:
-    # A daemon stops while its renewal is under way. Were the lease held
-    # again once the answer comes, it would send beside the next holder.
+    # A daemon shuts down while its renewal is in progress. If the answer
+    # restored the lease, the daemon would send at the same time as the next
+    # holder.
     store = FakeStore()
     table = GatedTable(store)
     lease = Lease(table, FakeClock(), KEY, 'daemon', TERMS)
@@ -219,8 +221,8 @@
 
 
 async def test_holder_stops_sending_one_order_timeout_before_expiry() -> None:
-    # An order to a receiver that ignores tokens is still on its way when
-    # the term ends, and takes effect after the next holder's first one.
+    # An order to a receiver that ignores tokens is still in transit when the
+    # term ends, and takes effect after the next holder's first order.
     pair = ContenderPair(terms=DRIFTING)
     assert await pair.first.acquire_or_renew()
     assert not await pair.second.acquire_or_renew()
@@ -236,10 +238,10 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Contenders whose every request may be held up, lost or unheard.
+    """Contenders whose requests may each be delayed, lost or left unanswered.
 
     An order takes effect at a receiver that ignores tokens up to two order
-    timeouts after the check: one held up in the process, one on its way.
+    timeouts after the check: one delayed in the process, one in transit.
     """
 
     def __init__(self) -> None:
@@ -258,7 +260,7 @@
         self.tokens: list[int] = []
 
     async def run_one(self, index: int, gates: int, lose: bool) -> None:
-        """Begin to pursue unless it is under way, and open some gates."""
+        """Start acquiring unless it is in progress, and open some gates."""
         task = self.tasks[index]
         if task is None or task.done():
             pursuit = self.leases[index].acquire_or_renew()
@@ -314,7 +316,7 @@
                 self.send(index, lease.token)
 
     def send(self, index: int, token: int) -> None:
-        """Let an order go out and check it against those before it."""
+        """Send an order and check it against the earlier ones."""
         assert all(
             sender == index or self.time - sent > ORDER_SECONDS
             for sender, sent in self.sent
@@ -342,14 +344,14 @@
 
 
 class Sender:
-    """A process that pursues a lease and sends orders while it may."""
+    """A process that contends for a lease and sends orders while it may."""
 
     def __init__(self, lease: Lease, source: random.Random) -> None:
         self.lease = lease
         self._source = source
 
     async def contend(self, releases: bool) -> None:
-        """Pursue the lease, pausing at times as a stopped process does."""
+        """Contend for the lease, pausing at times as a stopped process does."""
         while True:
             await self.lease.acquire_or_renew()
             if releases and self._source.random() < 0.005:
@@ -359,9 +361,9 @@
 
 
 async def run_schedule(seed: int, releases: bool) -> list[SentOrder]:
-    """Run contenders on drifting clocks against a bad store.
+    """Run contenders on drifting clocks against an unreliable store.
 
-    :returns: time, sender and token of each order, in their order.
+    :returns: time, sender and token of each order, in order.
     """
     source = random.Random(seed)
     store = FakeStore()
@@ -391,9 +393,9 @@
 @given(seed=strategies.integers(0, 10**6))
 @settings(derandomize=True, max_examples=20, deadline=None)
 def test_no_schedule_has_two_holders(releases: bool, seed: int) -> None:
-    # Everything at once, for five minutes: contenders pause, their clocks
-    # drift, the store is slow, down, and applies writes that were given up
-    # on. Two senders in one term would order upstreams twice over.
+    # Combines all faults for 200 seconds: contenders pause, their clocks drift,
+    # and the store is slow, down, and applies writes that were given up on. Two
+    # senders in one term would send orders to upstreams twice.
     sent = run_virtual(run_schedule(seed, releases))
     tokens = [token for _, _, token in sent]
     assert tokens == sorted(tokens)
