--- a/quetzalcourse/coordination/service_levels/burn.py
+++ b/quetzalcourse/coordination/service_levels/burn.py
@@ -104,10 +104,11 @@
 
 def compute_burn(level: ServiceLevel, events: LevelEvents) -> LevelBurn:
     """Compute the burn of one service level."""
-    allowed = 1 - level.objective
+    error_budget = 1 - level.objective
     total = sum(events.client_accounts.values(), EventCount())
     rates = {
-        window: events.windows.get(window, EventCount()).bad_share / allowed
+        window: events.windows.get(window, EventCount()).bad_share
+        / error_budget
         for window in Window
     }
     worst = find_worst_account(events.client_accounts)
@@ -117,7 +118,7 @@
         indicator=level.indicator,
         objective=level.objective,
         events=total,
-        budget_left=1 - total.bad_share / allowed,
+        budget_left=1 - total.bad_share / error_budget,
         rates=rates,
         alert=choose_alert(rates),
         worst_account=worst,
@@ -137,7 +138,7 @@
 def choose_alert(rates: Mapping[Window, float]) -> Alert:
     """Choose the most urgent rule that both windows meet."""
     for rule in ALERT_RULES:
-        slowest = min(rates[rule.long_window], rates[rule.short_window])
-        if slowest >= rule.rate:
+        lower_rate = min(rates[rule.long_window], rates[rule.short_window])
+        if lower_rate >= rule.rate:
             return rule.alert
     return Alert.quiet
--- a/quetzalcourse/coordination/service_levels/daily_event_sums.py
+++ b/quetzalcourse/coordination/service_levels/daily_event_sums.py
@@ -42,7 +42,7 @@
     levels: dict[str, dict[str, EventCount]]
 
 
-def name_sums(day: date, incarnation: str) -> str:
+def build_sums_key(day: date, incarnation: str) -> str:
     """Name the row of a daemon's sums; rows sort by day."""
     return f'{BURN_PREFIX}{day.isoformat()}/{incarnation}'
 
@@ -71,7 +71,7 @@
         self._counters = counters
         self._incarnation = incarnation
         self._day = clock.now().date()
-        self._before: dict[Labels, float] = {}
+        self._baseline: dict[Labels, float] = {}
         self._written: DaySums | None = None
 
     async def flush(self) -> None:
@@ -86,7 +86,7 @@
                     (),
                     (
                         Write(
-                            name_sums(sums.day, self._incarnation),
+                            build_sums_key(sums.day, self._incarnation),
                             msgspec.json.encode(sums),
                         ),
                     ),
@@ -95,7 +95,7 @@
             if isinstance(answer, Err):
                 return
             self._written = sums
-        self._turn_day(sums)
+        self._roll_over_day(sums)
 
     async def run(self) -> None:
         """Flush at every interval until cancelled.
@@ -103,8 +103,8 @@
         Daemons that start together would otherwise all write at the same
         instant; each begins at its own place in the interval.
         """
-        place = xxhash.xxh32_intdigest(self._incarnation.encode())
-        await self._clock.sleep(FLUSH_INTERVAL * (place / HASH_RANGE))
+        offset = xxhash.xxh32_intdigest(self._incarnation.encode())
+        await self._clock.sleep(FLUSH_INTERVAL * (offset / HASH_RANGE))
         while True:
             await self._clock.sleep(FLUSH_INTERVAL)
             await self.flush()
@@ -114,18 +114,18 @@
         for labels, amount in self._counters.counts.get(
             EVENTS_METRIC, {}
         ).items():
-            added = amount - self._before.get(labels, 0)
+            added = amount - self._baseline.get(labels, 0)
             if not added:
                 continue
-            names = dict(labels)
-            accounts = sums.setdefault(names['service_level'], {})
-            account = names['client_account']
-            good = names['outcome'] == 'good'
+            label_values = dict(labels)
+            accounts = sums.setdefault(label_values['service_level'], {})
+            account = label_values['client_account']
+            good = label_values['outcome'] == 'good'
             count = EventCount(added, 0) if good else EventCount(0, added)
             accounts[account] = accounts.get(account, EventCount()) + count
         return DaySums(self._day, sums)
 
-    def _turn_day(self, written: DaySums) -> None:
+    def _roll_over_day(self, written: DaySums) -> None:
         today = self._clock.now().date()
         if today == self._day:
             return
@@ -133,12 +133,12 @@
         # no row yet; counting them from the written sums on keeps them.
         for level, accounts in written.levels.items():
             for account, count in accounts.items():
-                self._move_start(level, account, 'good', count.good)
-                self._move_start(level, account, 'bad', count.bad)
+                self._advance_baseline(level, account, 'good', count.good)
+                self._advance_baseline(level, account, 'bad', count.bad)
         self._day = today
         self._written = None
 
-    def _move_start(
+    def _advance_baseline(
         self,
         level: str,
         account: str,
@@ -150,7 +150,7 @@
             ('outcome', outcome),
             ('service_level', level),
         )
-        self._before[labels] = self._before.get(labels, 0) + amount
+        self._baseline[labels] = self._baseline.get(labels, 0) + amount
 
 
 async def read_sums(
--- a/quetzalcourse/coordination/service_levels/human_requests.py
+++ b/quetzalcourse/coordination/service_levels/human_requests.py
@@ -18,7 +18,7 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.generation import Chunk
 
-CALLER_FAULTS = frozenset(
+CALLER_ERROR_CODES = frozenset(
     (
         RefusalCode.unauthenticated,
         RefusalCode.key_withdrawn,
@@ -61,14 +61,14 @@
         :param chunks: the answer.
         """
         began = self._clock.elapsed()
-        waiting = True
+        awaiting_first_chunk = True
         with self.track(client_account):
             # Were the request left open, its engine would go on for a
             # caller who has gone.
             async with aclosing(chunks) as request:  # type: ignore[type-var]
                 async for chunk in request:
-                    if waiting:
-                        waiting = False
+                    if awaiting_first_chunk:
+                        awaiting_first_chunk = False
                         self._levels.observe(
                             Indicator.human_latency,
                             client_account,
@@ -87,7 +87,7 @@
         try:
             yield
         except RefusedError as error:
-            if error.refusal.code not in CALLER_FAULTS:
+            if error.refusal.code not in CALLER_ERROR_CODES:
                 self._record(client_account, good=False)
             raise
         self._record(client_account, good=True)
--- a/quetzalcourse/coordination/service_levels/service_levels.py
+++ b/quetzalcourse/coordination/service_levels/service_levels.py
@@ -20,18 +20,18 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import ServiceLevel
 
-SLOT = timedelta(seconds=30)
-LONGEST = max(WINDOW_LENGTHS.values())
+BUCKET_LENGTH = timedelta(seconds=30)
+LONGEST_WINDOW = max(WINDOW_LENGTHS.values())
 EVENTS_METRIC = 'service_level_events'
 ALL_ACCOUNTS = 'all'
 WINDOW_EVENTS_METRIC = 'service_level_window_events'
 
 
 @dataclass(slots=True)
-class _Slot:
+class _Bucket:
     """Events of one short stretch of time."""
 
-    began: timedelta
+    started_at: timedelta
     good: int = 0
     bad: int = 0
 
@@ -45,18 +45,23 @@
     def __init__(self, clock: Clock) -> None:
         """Begin without events."""
         self._clock = clock
-        self._slots: deque[_Slot] = deque(maxlen=LONGEST // SLOT + 1)
+        self._buckets: deque[_Bucket] = deque(
+            maxlen=LONGEST_WINDOW // BUCKET_LENGTH + 1
+        )
 
     def record(self, *, good: bool) -> None:
         """Count one event now."""
         now = self._clock.elapsed()
-        if not self._slots or now - self._slots[-1].began >= SLOT:
-            self._slots.append(_Slot(now))
-        slot = self._slots[-1]
+        if (
+            not self._buckets
+            or now - self._buckets[-1].started_at >= BUCKET_LENGTH
+        ):
+            self._buckets.append(_Bucket(now))
+        bucket = self._buckets[-1]
         if good:
-            slot.good += 1
+            bucket.good += 1
         else:
-            slot.bad += 1
+            bucket.bad += 1
 
     def count(self, length: timedelta) -> EventCount:
         """Add up the events of the last while.
@@ -64,10 +69,12 @@
         :param length: how far to look back.
         """
         since = self._clock.elapsed() - length
-        recent = [slot for slot in self._slots if slot.began >= since]
+        recent = [
+            bucket for bucket in self._buckets if bucket.started_at >= since
+        ]
         return EventCount(
-            sum(slot.good for slot in recent),
-            sum(slot.bad for slot in recent),
+            sum(bucket.good for bucket in recent),
+            sum(bucket.bad for bucket in recent),
         )
 
 
@@ -118,8 +125,8 @@
         """
         for level in self._levels:
             if level.indicator == indicator:
-                quick = level.threshold is None or duration <= level.threshold
-                self._count(level, client_account, good=quick)
+                is_good = level.threshold is None or duration <= level.threshold
+                self._count(level, client_account, good=is_good)
 
     def on_report(self, delay: timedelta) -> None:
         """Count a usage report that was taken; it is of all accounts.
--- a/quetzalcourse/tests/coordination/service_levels/burn_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/burn_tests.py
@@ -54,12 +54,14 @@
         (0, 0, 1.0),
     ],
 )
-def test_budget_left(good: int, bad: int, left: float) -> None:
+def test_budget_left_follows_share_of_bad_events(
+    good: int, bad: int, left: float
+) -> None:
     events = LevelEvents(client_accounts={'a': EventCount(good, bad)})
     assert compute_burn(LEVEL, events).budget_left == pytest.approx(left)
 
 
-def test_rates_are_told_by_window() -> None:
+def test_rates_are_computed_per_window() -> None:
     events = LevelEvents()
     events.add_window(Window.hour, EventCount(90, 10))
     events.add_window(Window.hour, EventCount(100, 0))
@@ -98,7 +100,7 @@
     assert find_worst_account(accounts) == 'small'
 
 
-def test_events_leave_their_windows() -> None:
+def test_old_events_leave_their_windows() -> None:
     clock = FakeClock()
     counters = Counters()
     levels = ServiceLevelTracker(clock, counters)
--- a/quetzalcourse/tests/coordination/service_levels/daily_event_sums_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/daily_event_sums_tests.py
@@ -46,15 +46,15 @@
     return answer.unwrap()['answered'].client_accounts['readers']
 
 
-async def test_replaced_daemon_keeps_its_events() -> None:
+async def test_events_of_replaced_daemon_are_kept() -> None:
     # A VM is replaced. If its counts went with it, an outage in the morning
     # would be gone from the budget in the evening.
     store, clock = FakeStore(), FakeClock()
     for incarnation, amount in (('vm-1-a', 3), ('vm-1-b', 4)):
         counters = Counters()
-        ledger = DailySumsWriter(store, clock, counters, incarnation)
+        writer = DailySumsWriter(store, clock, counters, incarnation)
         count_event(counters, 'bad', amount)
-        await ledger.flush()
+        await writer.flush()
     assert await read_total(store, clock, 28) == EventCount(0, 7)
 
 
@@ -63,11 +63,11 @@
     # The table's answer is lost, with or without its effect. Events that
     # were added again would overstate the burn.
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
+    writer = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'good', 5)
     store.write_faults.append(fault)
-    await ledger.flush()
-    await ledger.flush()
+    await writer.flush()
+    await writer.flush()
     assert await read_total(store, clock, 28) == EventCount(5, 0)
 
 
@@ -75,22 +75,22 @@
     ('days', 'expected'),
     [(1, EventCount(2, 0)), (2, EventCount(3, 0)), (28, EventCount(3, 1))],
 )
-async def test_day_is_counted_in_its_period(
+async def test_day_counts_only_within_its_period(
     days: int,
     expected: EventCount,
 ) -> None:
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
+    writer = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'bad')
-    await ledger.flush()
+    await writer.flush()
     clock.move(DAY)
-    await ledger.flush()
+    await writer.flush()
     count_event(counters, 'good')
-    await ledger.flush()
+    await writer.flush()
     clock.move(DAY)
-    await ledger.flush()
+    await writer.flush()
     count_event(counters, 'good', 2)
-    await ledger.flush()
+    await writer.flush()
     assert await read_total(store, clock, days) == expected
 
 
@@ -98,23 +98,23 @@
     # The store is down when the day turns. The old day's events must not be
     # lost, and they must not be counted in the new day as well.
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
+    writer = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'bad', 2)
     store.down = True
     clock.move(DAY)
-    await ledger.flush()
+    await writer.flush()
     store.down = False
-    await ledger.flush()
+    await writer.flush()
     count_event(counters, 'good')
-    await ledger.flush()
+    await writer.flush()
     assert await read_total(store, clock, 28) == EventCount(1, 2)
     assert await read_total(store, clock, 1) == EventCount(1, 0)
 
 
-async def test_unchanged_sums_cost_no_write() -> None:
+async def test_unchanged_sums_are_not_written() -> None:
     store, clock, counters = FakeStore(), FakeClock(), Counters()
-    ledger = DailySumsWriter(store, clock, counters, 'vm-1-a')
+    writer = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'good')
-    await ledger.flush()
-    await ledger.flush()
+    await writer.flush()
+    await writer.flush()
     assert store.writes == 1
