--- a/quetzalcourse/coordination/service_levels/__init__.py
+++ b/quetzalcourse/coordination/service_levels/__init__.py
@@ -1,1 +1,1 @@
-"""Promises, their events and the burn of their budgets."""
+"""Service levels, their events, and the burn rates of their error budgets."""
--- a/quetzalcourse/coordination/service_levels/burn.py
+++ b/quetzalcourse/coordination/service_levels/burn.py
@@ -1,4 +1,4 @@
-"""Burn of error budgets: rates, what is left, and whether to alert."""
+"""Burn rates of error budgets, remaining budgets, and alerts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Alert(enum.StrEnum):
-    """How urgent a burn is."""
+    """Urgency of a burn rate."""
 
     page = 'page'
     ticket = 'ticket'
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AlertRule:
-    """Burn that both a long and a short window must show.
+    """Burn rate that both a long and a short window must reach.
 
-    The long window keeps a brief spike from alerting, and the short one
-    ends the alert soon after the burn ended.
+    The long window prevents alerts on brief spikes, and the short window ends
+    the alert soon after the burn ends.
 
-    :param rate: burn rate, in budgets a period.
+    :param rate: burn rate, in budgets per period.
     """
 
     alert: Alert
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class LevelEvents:
-    """Events of one service level, added up over daemons.
+    """Events of one service level, summed over daemons.
 
     :param windows: events of each window.
     :param client_accounts: events of each account in the whole period.
@@ -67,11 +67,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelBurn:
-    """Burn of one service level.
+    """Error budget burn of one service level.
 
-    :param budget_left: share of the error budget that is left; below 0 when
-        more was spent than there was.
-    :param rates: burn rate of each window; 1 spends the budget exactly.
+    :param budget_left: remaining share of the error budget; negative when it is
+        overspent.
+    :param rates: burn rate of each window; at 1 the budget is spent exactly.
     :param worst_account: account with the largest share of bad events.
     :param worst_share: that account's share of good events.
     """
@@ -127,16 +127,17 @@
 
 
 def find_worst_account(accounts: Mapping[str, EventCount]) -> str:
-    """Name the worst-served account, empty if there are no events.
+    """Return the account with the largest share of bad events.
 
     :param accounts: events by account; ties go to the first by name.
+    :returns: name of the account, empty if there are no events.
     """
     served = sorted(name for name in accounts if accounts[name].total)
     return max(served, key=lambda name: accounts[name].bad_share, default='')
 
 
 def choose_alert(rates: Mapping[Window, float]) -> Alert:
-    """Choose the most urgent rule that both windows meet."""
+    """Return the alert of the most urgent rule that both windows reach."""
     for rule in ALERT_RULES:
         lower_rate = min(rates[rule.long_window], rates[rule.short_window])
         if lower_rate >= rule.rate:
--- a/quetzalcourse/coordination/service_levels/daily_event_sums.py
+++ b/quetzalcourse/coordination/service_levels/daily_event_sums.py
@@ -1,4 +1,4 @@
-"""Sums of service-level events that outlast the daemon that counted them."""
+"""Daily sums of service-level events, stored beyond a daemon's lifetime."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 
 
 def build_sums_key(day: date, incarnation: str) -> str:
-    """Name the row of a daemon's sums; rows sort by day."""
+    """Build the row key of a daemon's sums; keys sort by day."""
     return f'{BURN_PREFIX}{day.isoformat()}/{incarnation}'
 
 
 class DailySumsWriter:
-    """Writes this daemon's sums of the day into the platform's table.
+    """Writes this daemon's sums of the day to the platform's table.
 
-    The row belongs to this incarnation alone and holds the whole sums of the
-    day. So a write whose answer was lost is simply written again, and a
-    replaced daemon's events stay. A killed daemon takes at most one flush
-    interval of events along.
+    The row belongs to this incarnation alone and holds the complete sums of the
+    day. So a write whose answer was lost is simply repeated, and the events of
+    a replaced daemon are kept. A killed daemon loses at most one flush interval
+    of events.
 
-    :param counters: where the events of service levels are counted.
+    :param counters: counts the events of service levels.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         counters: Counters,
         incarnation: str,
     ) -> None:
-        """Begin a day of its own with nothing counted."""
+        """Start the current day with nothing counted."""
         self._table = table
         self._clock = clock
         self._counters = counters
@@ -77,7 +77,7 @@
     async def flush(self) -> None:
         """Write the sums of the day if they changed.
 
-        Without an answer the next flush writes them again.
+        If the write is not answered, the next flush repeats it.
         """
         sums = self._sum_day()
         if sums != self._written and sums.levels:
@@ -98,10 +98,10 @@
         self._roll_over_day(sums)
 
     async def run(self) -> None:
-        """Flush at every interval until cancelled.
+        """Flush periodically until cancelled.
 
         Daemons that start together would otherwise all write at the same
-        instant; each begins at its own place in the interval.
+        instant, so each starts at its own offset in the interval.
         """
         offset = xxhash.xxh32_intdigest(self._incarnation.encode())
         await self._clock.sleep(FLUSH_INTERVAL * (offset / HASH_RANGE))
@@ -129,8 +129,8 @@
         today = self._clock.now().date()
         if today == self._day:
             return
-        # Events that came while the old day's row was on its way belong to
-        # no row yet; counting them from the written sums on keeps them.
+        # Events counted while the old day's row was being written belong to no
+        # row yet; starting the new day from the written sums keeps them.
         for level, accounts in written.levels.items():
             for account, count in accounts.items():
                 self._advance_baseline(level, account, 'good', count.good)
@@ -158,7 +158,7 @@
     levels: Iterable[ServiceLevel],
     today: date,
 ) -> Result[dict[str, LevelEvents], StoreFault]:
-    """Add up the events of each service level over its period.
+    """Sum the events of each service level over its period.
 
     :param levels: service levels of the manifest.
     :param today: last day of the period.
@@ -187,10 +187,10 @@
     today: date,
     events: dict[str, LevelEvents],
 ) -> None:
-    """Add a daemon's day to the levels whose period it is in.
+    """Add a daemon's day to the service levels whose period contains it.
 
     :param periods: period by service level.
-    :param events: events by service level, added to in place.
+    :param events: events by service level, updated in place.
     """
     age = today - sums.day
     for level, accounts in sums.levels.items():
--- a/quetzalcourse/coordination/service_levels/human_requests.py
+++ b/quetzalcourse/coordination/service_levels/human_requests.py
@@ -1,4 +1,4 @@
-"""Counts how humans are served against the service levels."""
+"""Service-level events of requests from human callers."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 class HumanRequestTracker:
-    """Watches the requests of human callers.
+    """Tracks the latency and outcome of requests from human callers.
 
-    :param levels: counts what the requests came to.
+    :param levels: counts the events.
     """
 
     def __init__(self, levels: ServiceLevelTracker, clock: Clock) -> None:
-        """Keep where the events go."""
+        """Keep the tracker that counts the events."""
         self._levels = levels
         self._clock = clock
 
@@ -53,18 +53,18 @@
         client_account: str,
         chunks: AsyncIterator[Chunk],
     ) -> AsyncIterator[Chunk]:
-        """Pass the chunks of a request on and count how it went.
+        """Pass on the chunks of a request and count its latency and outcome.
 
         The latency is the time to the first chunk.
 
-        :param client_account: whose request it is.
+        :param client_account: account of the request.
         :param chunks: the answer.
         """
         began = self._clock.elapsed()
         awaiting_first_chunk = True
         with self.track(client_account):
-            # Were the request left open, its engine would go on for a
-            # caller who has gone.
+            # If the request stayed open, its engine would continue for a caller
+            # that has disconnected.
             async with aclosing(chunks) as request:  # type: ignore[type-var]
                 async for chunk in request:
                     if awaiting_first_chunk:
@@ -80,9 +80,9 @@
     def track(self, client_account: str) -> Iterator[None]:
         """Count whether a request succeeded.
 
-        A refusal that the caller brought about counts neither way, since
-        no change of the service would have served the request; neither
-        does a request that its caller gave up.
+        A refusal caused by the caller is not counted, since no change to the
+        service would have served the request; neither is a request that its
+        caller cancelled.
         """
         try:
             yield
--- a/quetzalcourse/coordination/service_levels/service_levels.py
+++ b/quetzalcourse/coordination/service_levels/service_levels.py
@@ -1,4 +1,4 @@
-"""Counts events against the service levels of the manifest."""
+"""Counts of good and bad events for the service levels of the manifest."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """Events of one short stretch of time."""
+    """Events of one short interval."""
 
     started_at: timedelta
     good: int = 0
@@ -37,20 +37,20 @@
 
 
 class EventHistory:
-    """Events of the last hours in short slots, in bounded memory.
+    """Events of the last hours in short buckets, in bounded memory.
 
-    :param clock: tells which slot is the present one.
+    :param clock: determines the current bucket.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without events."""
+        """Create without events."""
         self._clock = clock
         self._buckets: deque[_Bucket] = deque(
             maxlen=LONGEST_WINDOW // BUCKET_LENGTH + 1
         )
 
     def record(self, *, good: bool) -> None:
-        """Count one event now."""
+        """Count one event at the current time."""
         now = self._clock.elapsed()
         if (
             not self._buckets
@@ -64,9 +64,9 @@
             bucket.bad += 1
 
     def count(self, length: timedelta) -> EventCount:
-        """Add up the events of the last while.
+        """Sum the events of a recent interval.
 
-        :param length: how far to look back.
+        :param length: length of the interval that ends now.
         """
         since = self._clock.elapsed() - length
         recent = [
@@ -79,20 +79,20 @@
 
 
 class ServiceLevelTracker:
-    """Sorts events into good and bad for every service level.
+    """Classifies events as good or bad for every service level.
 
-    :param counters: where the counts are published.
+    :param counters: publishes the counts.
     """
 
     def __init__(self, clock: Clock, counters: Counters) -> None:
-        """Begin without service levels."""
+        """Create without service levels."""
         self._clock = clock
         self._counters = counters
         self._levels: list[ServiceLevel] = []
         self._histories: dict[str, EventHistory] = {}
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the service levels of a manifest that came into force."""
+        """Apply the service levels of a new manifest."""
         self._levels = list(manifest.service_levels.values())
         self._histories = {
             level.name: self._histories.get(level.name)
@@ -107,7 +107,7 @@
         *,
         good: bool,
     ) -> None:
-        """Count an event that was good or bad by itself."""
+        """Count an event whose outcome is already known."""
         for level in self._levels:
             if level.indicator == indicator:
                 self._count(level, client_account, good=good)
@@ -118,10 +118,10 @@
         client_account: str,
         duration: timedelta,
     ) -> None:
-        """Count an event that is good if it was quick enough.
+        """Count an event that is good if it was fast enough.
 
         :param duration: compared with the threshold of each service level;
-            a level without a threshold takes any duration as good.
+            without a threshold, any duration is good.
         """
         for level in self._levels:
             if level.indicator == indicator:
@@ -129,14 +129,14 @@
                 self._count(level, client_account, good=is_good)
 
     def on_report(self, delay: timedelta) -> None:
-        """Count a usage report that was taken; it is of all accounts.
+        """Count an accepted usage report, which covers all accounts.
 
         :param delay: time since the report was due.
         """
         self.observe(Indicator.reports_on_time, ALL_ACCOUNTS, delay)
 
     def publish(self) -> None:
-        """Bring the counts of every window up to date in the counters."""
+        """Publish the current counts of every window in the counters."""
         for name, history in self._histories.items():
             for window, length in WINDOW_LENGTHS.items():
                 self._publish_window(name, window, history.count(length))
