--- a/quetzalcourse/tests/coordination/service_levels/burn_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/burn_tests.py
@@ -1,4 +1,4 @@
-"""Burn rates, budgets and alerts against cases computed by hand."""
+"""Tests of burn rates, budgets and alerts against values computed by hand."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def make_rates(short: float, long: float) -> dict[Window, float]:
-    """Give the short windows one rate and the long ones another."""
+    """Build rates with one value for short windows and one for long windows."""
     return {
         Window.five_minutes: short,
         Window.half_hour: short,
@@ -86,8 +86,8 @@
     long: float,
     alert: Alert,
 ) -> None:
-    # A brief spike fills the short window only, and an outage that ended
-    # the long one only. An operator woken by either could do nothing.
+    # A brief spike shows in the short window only, and an outage that has ended
+    # in the long window only. In either case an operator could do nothing.
     assert choose_alert(make_rates(short, long)) is alert
 
 
--- a/quetzalcourse/tests/coordination/service_levels/daily_event_sums_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/daily_event_sums_tests.py
@@ -1,4 +1,4 @@
-"""Sums of service-level events in the platform's table."""
+"""Tests of the sums of service-level events in the platform's table."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_level(days: int) -> ServiceLevel:
-    """Make a service level with a period."""
+    """Build a service level with a period."""
     return ServiceLevel(
         'answered', 'human_success', 0.99, None, timedelta(days=days)
     )
@@ -41,14 +41,14 @@
 
 
 async def read_total(store: FakeStore, clock: FakeClock, days: int) -> object:
-    """Read what a report would count."""
+    """Return the total that a report would show."""
     answer = await read_sums(store, [make_level(days)], clock.now().date())
     return answer.unwrap()['answered'].client_accounts['readers']
 
 
 async def test_events_of_replaced_daemon_are_kept() -> None:
-    # A VM is replaced. If its counts went with it, an outage in the morning
-    # would be gone from the budget in the evening.
+    # A VM is replaced. If its counts were lost with it, a morning's outage
+    # would be missing from the error budget in the evening.
     store, clock = FakeStore(), FakeClock()
     for incarnation, amount in (('vm-1-a', 3), ('vm-1-b', 4)):
         counters = Counters()
@@ -60,8 +60,8 @@
 
 @pytest.mark.parametrize('fault', ['not_applied', 'lost_before', 'lost_after'])
 async def test_lost_answer_counts_nothing_twice(fault: str) -> None:
-    # The table's answer is lost, with or without its effect. Events that
-    # were added again would overstate the burn.
+    # The table's answer is lost, whether or not the write took effect. Events
+    # added twice would overstate the burn rate.
     store, clock, counters = FakeStore(), FakeClock(), Counters()
     writer = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'good', 5)
@@ -95,8 +95,8 @@
 
 
 async def test_outage_over_midnight_keeps_events() -> None:
-    # The store is down when the day turns. The old day's events must not be
-    # lost, and they must not be counted in the new day as well.
+    # The store is down at midnight. The old day's events must not be lost, and
+    # must not be counted in the new day as well.
     store, clock, counters = FakeStore(), FakeClock(), Counters()
     writer = DailySumsWriter(store, clock, counters, 'vm-1-a')
     count_event(counters, 'bad', 2)
