--- a/quetzalcourse/coordination/service_levels/daily_event_sums.py
+++ b/quetzalcourse/coordination/service_levels/daily_event_sums.py
@@ -1,4 +1,4 @@
-"""Sums of service-level events that outlast the daemon that counted them."""
+"""Daily sums of service-level events, stored beyond a daemon's lifetime."""
 
 from __future__ import annotations
 
@@ -42,20 +42,20 @@
     levels: dict[str, dict[str, EventCount]]
 
 
-def name_sums(day: date, incarnation: str) -> str:
-    """Name the row of a daemon's sums; rows sort by day."""
+def build_sums_key(day: date, incarnation: str) -> str:
+    """Build the row key of a daemon's sums; keys sort by day."""
     return f'{BURN_PREFIX}{day.isoformat()}/{incarnation}'
 
 
 class DailySumsWriter:
-    """Writes this daemon's sums of the day into the platform's table.
+    """Writes this daemon's sums of the day to the platform's table.
 
-    The row belongs to this incarnation alone and holds the whole sums of the
-    day. So a write whose answer was lost is simply written again, and a
-    replaced daemon's events stay. A killed daemon takes at most one flush
-    interval of events along.
+    The row belongs to this incarnation alone and holds the complete sums of the
+    day. So a write whose answer was lost is simply repeated, and the events of
+    a replaced daemon are kept. A killed daemon loses at most one flush interval
+    of events.
 
-    :param counters: where the events of service levels are counted.
+    :param counters: counts the events of service levels.
     """
 
     def __init__(
@@ -65,19 +65,19 @@
         counters: Counters,
         incarnation: str,
     ) -> None:
-        """Begin a day of its own with nothing counted."""
+        """Start the current day with nothing counted."""
         self._table = table
         self._clock = clock
         self._counters = counters
         self._incarnation = incarnation
         self._day = clock.now().date()
-        self._before: dict[Labels, float] = {}
+        self._baseline: dict[Labels, float] = {}
         self._written: DaySums | None = None
 
     async def flush(self) -> None:
         """Write the sums of the day if they changed.
 
-        Without an answer the next flush writes them again.
+        If the write is not answered, the next flush repeats it.
         """
         sums = self._sum_day()
         if sums != self._written and sums.levels:
@@ -86,7 +86,7 @@
                     (),
                     (
                         Write(
-                            name_sums(sums.day, self._incarnation),
+                            build_sums_key(sums.day, self._incarnation),
                             msgspec.json.encode(sums),
                         ),
                     ),
@@ -95,16 +95,16 @@
             if isinstance(answer, Err):
                 return
             self._written = sums
-        self._turn_day(sums)
+        self._roll_over_day(sums)
 
     async def run(self) -> None:
-        """Flush at every interval until cancelled.
+        """Flush periodically until cancelled.
 
         Daemons that start together would otherwise all write at the same
-        instant; each begins at its own place in the interval.
+        instant, so each starts at its own offset in the interval.
         """
-        place = xxhash.xxh32_intdigest(self._incarnation.encode())
-        await self._clock.sleep(FLUSH_INTERVAL * (place / HASH_RANGE))
+        offset = xxhash.xxh32_intdigest(self._incarnation.encode())
+        await self._clock.sleep(FLUSH_INTERVAL * (offset / HASH_RANGE))
         while True:
             await self._clock.sleep(FLUSH_INTERVAL)
             await self.flush()
@@ -114,31 +114,31 @@
         for labels, amount in self._counters.counts.get(
             EVENTS_METRIC, {}
         ).items():
-            added = amount - self._before.get(labels, 0)
+            added = amount - self._baseline.get(labels, 0)
             if not added:
                 continue
-            names = dict(labels)
-            accounts = sums.setdefault(names['service_level'], {})
-            account = names['client_account']
-            good = names['outcome'] == 'good'
+            label_values = dict(labels)
+            accounts = sums.setdefault(label_values['service_level'], {})
+            account = label_values['client_account']
+            good = label_values['outcome'] == 'good'
             count = EventCount(added, 0) if good else EventCount(0, added)
             accounts[account] = accounts.get(account, EventCount()) + count
         return DaySums(self._day, sums)
 
-    def _turn_day(self, written: DaySums) -> None:
+    def _roll_over_day(self, written: DaySums) -> None:
         today = self._clock.now().date()
         if today == self._day:
             return
-        # Events that came while the old day's row was on its way belong to
-        # no row yet; counting them from the written sums on keeps them.
+        # Events counted while the old day's row was being written belong to no
+        # row yet; starting the new day from the written sums keeps them.
         for level, accounts in written.levels.items():
             for account, count in accounts.items():
-                self._move_start(level, account, 'good', count.good)
-                self._move_start(level, account, 'bad', count.bad)
+                self._advance_baseline(level, account, 'good', count.good)
+                self._advance_baseline(level, account, 'bad', count.bad)
         self._day = today
         self._written = None
 
-    def _move_start(
+    def _advance_baseline(
         self,
         level: str,
         account: str,
@@ -150,7 +150,7 @@
             ('outcome', outcome),
             ('service_level', level),
         )
-        self._before[labels] = self._before.get(labels, 0) + amount
+        self._baseline[labels] = self._baseline.get(labels, 0) + amount
 
 
 async def read_sums(
@@ -158,7 +158,7 @@
     levels: Iterable[ServiceLevel],
     today: date,
 ) -> Result[dict[str, LevelEvents], StoreFault]:
-    """Add up the events of each service level over its period.
+    """Sum the events of each service level over its period.
 
     :param levels: service levels of the manifest.
     :param today: last day of the period.
@@ -187,10 +187,10 @@
     today: date,
     events: dict[str, LevelEvents],
 ) -> None:
-    """Add a daemon's day to the levels whose period it is in.
+    """Add a daemon's day to the service levels whose period contains it.
 
     :param periods: period by service level.
-    :param events: events by service level, added to in place.
+    :param events: events by service level, updated in place.
     """
     age = today - sums.day
     for level, accounts in sums.levels.items():
--- a/quetzalcourse/coordination/service_levels/human_requests.py
+++ b/quetzalcourse/coordination/service_levels/human_requests.py
@@ -1,4 +1,4 @@
-"""Counts how humans are served against the service levels."""
+"""Service-level events of requests from human callers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.generation import Chunk
 
-CALLER_FAULTS = frozenset(
+CALLER_ERROR_CODES = frozenset(
     (
         RefusalCode.unauthenticated,
         RefusalCode.key_withdrawn,
@@ -38,13 +38,13 @@
 
 
 class HumanRequestTracker:
-    """Watches the requests of human callers.
+    """Tracks the latency and outcome of requests from human callers.
 
-    :param levels: counts what the requests came to.
+    :param levels: counts the events.
     """
 
     def __init__(self, levels: ServiceLevelTracker, clock: Clock) -> None:
-        """Keep where the events go."""
+        """Keep the tracker that counts the events."""
         self._levels = levels
         self._clock = clock
 
@@ -53,22 +53,22 @@
         client_account: str,
         chunks: AsyncIterator[Chunk],
     ) -> AsyncIterator[Chunk]:
-        """Pass the chunks of a request on and count how it went.
+        """Pass on the chunks of a request and count its latency and outcome.
 
         The latency is the time to the first chunk.
 
-        :param client_account: whose request it is.
+        :param client_account: account of the request.
         :param chunks: the answer.
         """
         began = self._clock.elapsed()
-        waiting = True
+        awaiting_first_chunk = True
         with self.track(client_account):
-            # Were the request left open, its engine would go on for a
-            # caller who has gone.
+            # If the request stayed open, its engine would continue for a caller
+            # that has disconnected.
             async with aclosing(chunks) as request:  # type: ignore[type-var]
                 async for chunk in request:
-                    if waiting:
-                        waiting = False
+                    if awaiting_first_chunk:
+                        awaiting_first_chunk = False
                         self._levels.observe(
                             Indicator.human_latency,
                             client_account,
@@ -80,14 +80,14 @@
     def track(self, client_account: str) -> Iterator[None]:
         """Count whether a request succeeded.
 
-        A refusal that the caller brought about counts neither way, since
-        no change of the service would have served the request; neither
-        does a request that its caller gave up.
+        A refusal caused by the caller is not counted, since no change to the
+        service would have served the request; neither is a request that its
+        caller cancelled.
         """
         try:
             yield
         except RefusedError as error:
-            if error.refusal.code not in CALLER_FAULTS:
+            if error.refusal.code not in CALLER_ERROR_CODES:
                 self._record(client_account, good=False)
             raise
         self._record(client_account, good=True)
--- a/quetzalcourse/coordination/service_levels/service_levels.py
+++ b/quetzalcourse/coordination/service_levels/service_levels.py
@@ -1,4 +1,4 @@
-"""Counts events against the service levels of the manifest."""
+"""Counts of good and bad events for the service levels of the manifest."""
 
 from __future__ import annotations
 
@@ -20,72 +20,79 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import ServiceLevel
 
-SLOT = timedelta(seconds=30)
-LONGEST = max(WINDOW_LENGTHS.values())
+BUCKET_LENGTH = timedelta(seconds=30)
+LONGEST_WINDOW = max(WINDOW_LENGTHS.values())
 EVENTS_METRIC = 'service_level_events'
 ALL_ACCOUNTS = 'all'
 WINDOW_EVENTS_METRIC = 'service_level_window_events'
 
 
 @dataclass(slots=True)
-class _Slot:
-    """Events of one short stretch of time."""
+class _Bucket:
+    """Events of one short interval."""
 
-    began: timedelta
+    started_at: timedelta
     good: int = 0
     bad: int = 0
 
 
 class EventHistory:
-    """Events of the last hours in short slots, in bounded memory.
+    """Events of the last hours in short buckets, in bounded memory.
 
-    :param clock: tells which slot is the present one.
+    :param clock: determines the current bucket.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without events."""
+        """Create without events."""
         self._clock = clock
-        self._slots: deque[_Slot] = deque(maxlen=LONGEST // SLOT + 1)
+        self._buckets: deque[_Bucket] = deque(
+            maxlen=LONGEST_WINDOW // BUCKET_LENGTH + 1
+        )
 
     def record(self, *, good: bool) -> None:
-        """Count one event now."""
+        """Count one event at the current time."""
         now = self._clock.elapsed()
-        if not self._slots or now - self._slots[-1].began >= SLOT:
-            self._slots.append(_Slot(now))
-        slot = self._slots[-1]
+        if (
+            not self._buckets
+            or now - self._buckets[-1].started_at >= BUCKET_LENGTH
+        ):
+            self._buckets.append(_Bucket(now))
+        bucket = self._buckets[-1]
         if good:
-            slot.good += 1
+            bucket.good += 1
         else:
-            slot.bad += 1
+            bucket.bad += 1
 
     def count(self, length: timedelta) -> EventCount:
-        """Add up the events of the last while.
+        """Sum the events of a recent interval.
 
-        :param length: how far to look back.
+        :param length: length of the interval that ends now.
         """
         since = self._clock.elapsed() - length
-        recent = [slot for slot in self._slots if slot.began >= since]
+        recent = [
+            bucket for bucket in self._buckets if bucket.started_at >= since
+        ]
         return EventCount(
-            sum(slot.good for slot in recent),
-            sum(slot.bad for slot in recent),
+            sum(bucket.good for bucket in recent),
+            sum(bucket.bad for bucket in recent),
         )
 
 
 class ServiceLevelTracker:
-    """Sorts events into good and bad for every service level.
+    """Classifies events as good or bad for every service level.
 
-    :param counters: where the counts are published.
+    :param counters: publishes the counts.
     """
 
     def __init__(self, clock: Clock, counters: Counters) -> None:
-        """Begin without service levels."""
+        """Create without service levels."""
         self._clock = clock
         self._counters = counters
         self._levels: list[ServiceLevel] = []
         self._histories: dict[str, EventHistory] = {}
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the service levels of a manifest that came into force."""
+        """Apply the service levels of a new manifest."""
         self._levels = list(manifest.service_levels.values())
         self._histories = {
             level.name: self._histories.get(level.name)
@@ -100,7 +107,7 @@
         *,
         good: bool,
     ) -> None:
-        """Count an event that was good or bad by itself."""
+        """Count an event whose outcome is already known."""
         for level in self._levels:
             if level.indicator == indicator:
                 self._count(level, client_account, good=good)
@@ -111,25 +118,25 @@
         client_account: str,
         duration: timedelta,
     ) -> None:
-        """Count an event that is good if it was quick enough.
+        """Count an event that is good if it was fast enough.
 
         :param duration: compared with the threshold of each service level;
-            a level without a threshold takes any duration as good.
+            without a threshold, any duration is good.
         """
         for level in self._levels:
             if level.indicator == indicator:
-                quick = level.threshold is None or duration <= level.threshold
-                self._count(level, client_account, good=quick)
+                is_good = level.threshold is None or duration <= level.threshold
+                self._count(level, client_account, good=is_good)
 
     def on_report(self, delay: timedelta) -> None:
-        """Count a usage report that was taken; it is of all accounts.
+        """Count an accepted usage report, which covers all accounts.
 
         :param delay: time since the report was due.
         """
         self.observe(Indicator.reports_on_time, ALL_ACCOUNTS, delay)
 
     def publish(self) -> None:
-        """Bring the counts of every window up to date in the counters."""
+        """Publish the current counts of every window in the counters."""
         for name, history in self._histories.items():
             for window, length in WINDOW_LENGTHS.items():
                 self._publish_window(name, window, history.count(length))
--- a/quetzalcourse/tests/coordination/service_levels/burn_tests.py
+++ b/quetzalcourse/tests/coordination/service_levels/burn_tests.py
@@ -1,4 +1,4 @@
-"""Burn rates, budgets and alerts against cases computed by hand."""
+"""Tests of burn rates, budgets and alerts against values computed by hand."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def make_rates(short: float, long: float) -> dict[Window, float]:
-    """Give the short windows one rate and the long ones another."""
+    """Build rates with one value for short windows and one for long windows."""
     return {
         Window.five_minutes: short,
         Window.half_hour: short,
@@ -54,12 +54,14 @@
         (0, 0, 1.0),
     ],
 )
-def test_budget_left(good: int, bad: int, left: float) -> None:
+def test_budget_left_follows_share_of_bad_events(
+    good: int, bad: int, left: float
+) -> None:
     events = LevelEvents(client_accounts={'a': EventCount(good, bad)})
     assert compute_burn(LEVEL, events).budget_left == pytest.approx(left)
 
 
-def test_rates_are_told_by_window() -> None:
+def test_rates_are_computed_per_window() -> None:
     events = LevelEvents()
     events.add_window(Window.hour, EventCount(90, 10))
     events.add_window(Window.hour, EventCount(100, 0))
@@ -84,8 +86,8 @@
     long: float,
     alert: Alert,
 ) -> None:
-    # A brief spike fills the short window only, and an outage that ended
-    # the long one only. An operator woken by either could do nothing.
+    # A brief spike shows in the short window only, and an outage that has ended
+    # in the long window only. In either case an operator could do nothing.
     assert choose_alert(make_rates(short, long)) is alert
 
 
@@ -98,7 +100,7 @@
     assert find_worst_account(accounts) == 'small'
 
 
-def test_events_leave_their_windows() -> None:
+def test_old_events_leave_their_windows() -> None:
     clock = FakeClock()
     counters = Counters()
     levels = ServiceLevelTracker(clock, counters)
