--- a/quetzalcourse/application.py
+++ b/quetzalcourse/application.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from quetzalcourse.lease_parts import build_lease_parts
+from quetzalcourse.lease_components import build_lease_components
 from quetzalcourse.coordination.service_levels.daily_event_sums import (
     DailySumsWriter,
 )
@@ -22,11 +22,11 @@
 )
 from quetzalcourse.coordination.membership.status import StatusRegistry
 from quetzalcourse.coordination.steps.step_assembly import build_step_service
-from quetzalcourse.incarnation import name_incarnation
+from quetzalcourse.incarnation import generate_incarnation
 from quetzalcourse.lifecycle import Lifecycle
 from quetzalcourse.log import get_log
 from quetzalcourse.peering import Peering
-from quetzalcourse.slot_parts import SlotParts
+from quetzalcourse.slot_components import SlotComponents
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.transport.callers import (
     Activity,
@@ -45,15 +45,15 @@
 from quetzalcourse.transport.routes import add_routes
 from quetzalcourse.transport.sockets import open_listener, read_address
 from quetzalcourse.transport.web import WebServer, build_app
-from quetzalcourse.upstreams import build_upstreams
-from quetzalcourse.weight_parts import build_weights
+from quetzalcourse.request_components import build_request_components
+from quetzalcourse.weight_components import build_weight_components
 
 if TYPE_CHECKING:
     from quetzalcourse.settings.process import ProcessSettings
     from quetzalcourse.state.manifest import Manifest
 
-LAST_ANSWERS = timedelta(seconds=1)
-DRAIN_POLL = timedelta(milliseconds=50)
+FINAL_RESPONSES_TIMEOUT = timedelta(seconds=1)
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=50)
 log = get_log('application')
 
 
@@ -69,7 +69,7 @@
         self.clock = SystemClock()
         self.counters = Counters()
         self.activity = Activity()
-        self.incarnation = name_incarnation(settings.vm)
+        self.incarnation = generate_incarnation(settings.vm)
         self._listener = open_listener(settings.listen.callers)
         self.address = read_address(self._listener)
         self.lifecycle = Lifecycle(self.clock, self.counters)
@@ -89,21 +89,21 @@
             middlewares=(send_once,),
         )
         self.lifecycle.on_stop(self._session.close)
-        self._build_parts()
+        self._build_components()
         self._server = self._build_server()
         await self.peering.start(self.lifecycle)
         await self.lifecycle.start()
         self.lifecycle.on_stop(self._server.stop)
         self.lifecycle.on_stop(self.slots.on_stop)
-        self.lifecycle.on_stop(self.lease_parts.on_stop)
+        self.lifecycle.on_stop(self.lease_components.on_stop)
         self.lifecycle.on_stop(self.generation.stop)
         self.lifecycle.on_stop(self.steps.stop)
         self.lifecycle.on_stop(self.burn_ledger.flush)
         await self._server.start()
         self.lifecycle.run('burn ledger', self.burn_ledger.run)
-        self.lifecycle.run('upstreams', self.upstreams.observer.run)
+        self.lifecycle.run('upstreams', self.upstreams.engine_poller.run)
         self.lifecycle.run('steps', self.steps.adopt_orphaned_steps)
-        self.lease_parts.start(self.lifecycle)
+        self.lease_components.start(self.lifecycle)
         self.weights.start(self.lifecycle)
         log.info(
             'Daemon started.', address=self.address, peers=self.peers.address
@@ -125,13 +125,13 @@
         deadline = self.clock.elapsed() + timedelta(
             seconds=drain.deadline_seconds
         )
-        handing_over = asyncio.ensure_future(self.lifecycle.drain())
+        hand_over = asyncio.ensure_future(self.lifecycle.drain())
         while self.clock.elapsed() < deadline:
             busy = self._server.close_idle() or self.activity.serving
-            if handing_over.done() and not busy:
+            if hand_over.done() and not busy:
                 break
-            await self.clock.sleep(DRAIN_POLL)
-        handing_over.cancel()
+            await self.clock.sleep(DRAIN_POLL_INTERVAL)
+        hand_over.cancel()
         log.info('Drain ended.', cut=self.activity.serving)
 
     async def on_stop(self) -> None:
@@ -139,20 +139,20 @@
         await self.lifecycle.stop()
         # Requests that are cut have lost their upstreams by now, and their
         # callers are owed the refusal that says so.
-        deadline = self.clock.elapsed() + LAST_ANSWERS
+        deadline = self.clock.elapsed() + FINAL_RESPONSES_TIMEOUT
         while self.activity.serving and self.clock.elapsed() < deadline:
-            await self.clock.sleep(DRAIN_POLL)
+            await self.clock.sleep(DRAIN_POLL_INTERVAL)
         self._listener.close()
         log.info('Daemon stopped.')
 
-    def _build_parts(self) -> None:
+    def _build_components(self) -> None:
         platform = self.settings.platform
         self.platform = PlatformClient(
             self._session, platform.address, platform.timeout_seconds
         )
         self.keys = KeyRing()
         self.manifest = ManifestStore(self.platform, self.platform)
-        self.slots = SlotParts(
+        self.slots = SlotComponents(
             self.members,
             self.peers,
             self._session,
@@ -161,7 +161,7 @@
         )
         self.admission = self.slots.admission
         self.slots.on_start()
-        self.upstreams = build_upstreams(
+        self.upstreams = build_request_components(
             self.settings.data_centre,
             self.incarnation,
             self._session,
@@ -180,7 +180,7 @@
             self.service_levels,
             self.members,
         )
-        self.lease_parts = build_lease_parts(
+        self.lease_components = build_lease_components(
             self.settings,
             self.incarnation,
             self._session,
@@ -190,7 +190,7 @@
             self.clock,
             self.counters,
         )
-        self.weights = build_weights(
+        self.weights = build_weight_components(
             self.settings,
             self._session,
             self.platform,
@@ -199,18 +199,20 @@
             self.clock,
             self.counters,
         )
-        self.lease_parts.reporter.on_sent = self.service_levels.on_report
-        self.generation.usage = self.lease_parts.usage
-        self.upstreams.services.usage = self.lease_parts.usage
+        self.lease_components.usage_reporter.on_sent = (
+            self.service_levels.on_report
+        )
+        self.generation.usage = self.lease_components.usage
+        self.upstreams.services.usage = self.lease_components.usage
         self.burn_ledger = DailySumsWriter(
             self.platform, self.clock, self.counters, self.incarnation
         )
         self.sessions = KeySessions(self.keys)
         self.manifest.on_manifest(self.on_manifest)
-        self.peering.follow(self.platform, self.manifest, self.keys)
-        self.peering.on_vms(self.upstreams.leaving.on_vms)
+        self.peering.build_store_sync(self.platform, self.manifest, self.keys)
+        self.peering.on_vms(self.upstreams.drains.on_vms)
         self.status.add('peering', self.peering.describe)
-        self.status.add('leases', self.lease_parts.describe)
+        self.status.add('leases', self.lease_components.describe)
         self.status.add('weights', self.weights.describe)
 
     def on_manifest(self, manifest: Manifest) -> None:
@@ -220,7 +222,7 @@
         self.upstreams.on_manifest(manifest)
         self.weights.waves.on_manifest(manifest)
         self.service_levels.on_manifest(manifest)
-        self.lease_parts.fleet.on_manifest(manifest)
+        self.lease_components.fleet.on_manifest(manifest)
         self.activity.ready = not self.activity.draining
         log.info('Manifest in force.', version=manifest.version)
 
@@ -240,7 +242,7 @@
             steps=self.steps,
             service_levels=self.service_levels,
             human_service=HumanRequestTracker(self.service_levels, self.clock),
-            claims=self.upstreams.claims,
+            claims=self.upstreams.idempotency,
             sessions=self.sessions,
             status=self.status,
         )
--- a/quetzalcourse/batch_parts.py
+++ b/quetzalcourse/batch_components.py
@@ -34,7 +34,7 @@
     from quetzalcourse.coordination.forwarding.pool import Pool
     from quetzalcourse.coordination.forwarding.residency import Residency
     from quetzalcourse.coordination.quarantine.quarantine import Quarantine
-    from quetzalcourse.feed_parts import FeedParts
+    from quetzalcourse.feed_components import FeedComponents
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -50,27 +50,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BatchParts:
+class BatchComponents:
     """All that a daemon does about batches."""
 
-    reader: ResultReader
+    result_reader: ResultReader
     runner: BatchRunner
-    keeper: BatchTakeover
-    watch: OwnerWatch
+    takeover: BatchTakeover
+    owner_watch: OwnerWatch
     load_updates: LoadUpdates
     allocator: SlotAllocator
-    batches: BatchService
+    service: BatchService
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run the parts in the background."""
-        lifecycle.run('results', self.reader.run)
+        lifecycle.run('results', self.result_reader.run)
         lifecycle.run('items', self.runner.run)
-        lifecycle.run('batches', self.keeper.run)
-        lifecycle.run('owners', self.watch.run)
+        lifecycle.run('batches', self.takeover.run)
+        lifecycle.run('owners', self.owner_watch.run)
 
 
-def build_batch_parts(
-    feeds: FeedParts,
+def build_batch_components(
+    feeds: FeedComponents,
     store_clock: StoreClock,
     calls: BatchCalls,
     pool: Pool,
@@ -78,13 +78,13 @@
     quarantine: Quarantine,
     clock: Clock,
     counters: Counters,
-) -> BatchParts:
+) -> BatchComponents:
     """Build the parts and connect them."""
     rows = BatchRows(feeds.store)
     directory = BatchDirectory(feeds.batches)
-    reader = ResultReader(rows, directory, clock)
+    result_reader = ResultReader(rows, directory, clock)
     writer = BatchWriter(rows, clock, counters)
-    writer.on_committed(reader.on_committed)
+    writer.on_committed(result_reader.on_committed)
     members = feeds.presence
     allocator = SlotAllocator(members, pool, clock)
     runner = BatchRunner(
@@ -101,20 +101,29 @@
     runner.on_batch_start(members.announce)
     coordinators = CoordinatorList(directory, residency.routes, members)
     notifications = ResultNotifications(
-        directory, runner, reader, calls.peers, members, clock
+        directory, runner, result_reader, calls.peers, members, clock
     )
     writer.on_committed(notifications.on_committed)
     _connect_coordinators(
         runner,
         SlotUsageUpdates(allocator, pool, coordinators, calls.peers, clock),
     )
-    offers = BatchCoordinators(calls.peers, members, feeds.operators, residency)
-    batches = BatchService(
-        rows, directory, reader, runner, offers, members, store_clock, clock
+    batch_coordinators = BatchCoordinators(
+        calls.peers, members, feeds.operators, residency
     )
-    offers.on_offer(batches.accept_offer)
-    return BatchParts(
-        reader,
+    service = BatchService(
+        rows,
+        directory,
+        result_reader,
+        runner,
+        batch_coordinators,
+        members,
+        store_clock,
+        clock,
+    )
+    batch_coordinators.on_offer(service.accept_offer)
+    return BatchComponents(
+        result_reader,
         runner,
         BatchTakeover(
             rows, directory, runner, members, store_clock, clock, residency
@@ -124,7 +133,7 @@
         ),
         LoadUpdates(coordinators, pool, calls.peers),
         allocator,
-        batches,
+        service,
     )
 
 
--- a/quetzalcourse/client.py
+++ b/quetzalcourse/client.py
@@ -32,10 +32,10 @@
 
 Message = TypeVar('Message', bound=msgspec.Struct)
 HTTP_OK = 200
-POLL = timedelta(seconds=1)
-PATIENCE = timedelta(minutes=15)
+POLL_INTERVAL = timedelta(seconds=1)
+RETRY_TIMEOUT = timedelta(minutes=15)
 CALL_TIMEOUT = timedelta(seconds=30)
-PASSING = frozenset(
+RETRYABLE_CODES = frozenset(
     (
         RefusalCode.store_unavailable,
         RefusalCode.overloaded,
@@ -81,8 +81,8 @@
         self,
         addresses: Sequence[str],
         key: str,
-        poll: timedelta = POLL,
-        patience: timedelta = PATIENCE,
+        poll: timedelta = POLL_INTERVAL,
+        patience: timedelta = RETRY_TIMEOUT,
         call_timeout: timedelta = CALL_TIMEOUT,
     ) -> None:
         """Keep the addresses; nothing is connected yet."""
@@ -185,9 +185,11 @@
                 await self.acknowledge(trainer, step, cursor)
             else:
                 await asyncio.sleep(self._poll.total_seconds())
-                whole = await self._is_read(trainer, step, cursor)
+                whole = await self._is_fully_read(trainer, step, cursor)
 
-    async def _is_read(self, trainer: str, step: int, cursor: int) -> bool:
+    async def _is_fully_read(
+        self, trainer: str, step: int, cursor: int
+    ) -> bool:
         # A trainer that died after its last acknowledgement finds no batch
         # that says the step is whole, and would wait for one for ever.
         if cursor == 0:
@@ -197,13 +199,13 @@
 
     async def _call(self, method: str, path: str, body: bytes = b'') -> bytes:
         loop = asyncio.get_running_loop()
-        end = loop.time() + self._patience.total_seconds()
+        deadline = loop.time() + self._patience.total_seconds()
         while True:
-            problem = await self._try_call(method, path, body)
-            if isinstance(problem, bytes):
-                return problem
-            if loop.time() >= end:
-                raise problem
+            outcome = await self._try_call(method, path, body)
+            if isinstance(outcome, bytes):
+                return outcome
+            if loop.time() >= deadline:
+                raise outcome
             self._address = next(self._addresses)
             await asyncio.sleep(self._poll.total_seconds())
 
@@ -223,7 +225,7 @@
         if answer.status == HTTP_OK:
             return content
         refusal = read_refusal(content, answer.status)
-        if refusal.code not in PASSING:
+        if refusal.code not in RETRYABLE_CODES:
             raise refusal
         return refusal
 
--- a/quetzalcourse/commands/apply.py
+++ b/quetzalcourse/commands/apply.py
@@ -51,8 +51,8 @@
 
 async def _apply(options: argparse.Namespace, manifest: Manifest) -> int:
     async with open_platform(options.platform) as platform:
-        keeper = ManifestStore(platform, platform)
-        answer = await keeper.accept(manifest, options.replaces)
+        store = ManifestStore(platform, platform)
+        answer = await store.accept(manifest, options.replaces)
     if isinstance(answer, Err):
         problem = answer.err_value
         if isinstance(problem, ManifestConflict):
--- a/quetzalcourse/commands/burn_page.py
+++ b/quetzalcourse/commands/burn_page.py
@@ -32,16 +32,16 @@
 TITLE = 'Service-level burn'
 
 
-def render_page(burns: Sequence[LevelBurn], silent: Sequence[str]) -> str:
+def render_page(burns: Sequence[LevelBurn], unreachable: Sequence[str]) -> str:
     """Write the whole page.
 
-    :param silent: daemons whose events are missing.
+    :param unreachable: daemons whose events are missing.
     """
     parts = [
         '<!doctype html><html lang="en"><head><meta charset="utf-8">',
         f'<title>{TITLE}</title><style>{STYLE}</style></head><body>',
         f'<h1>{TITLE}</h1>',
-        *(render_missing(daemon) for daemon in silent),
+        *(render_missing(daemon) for daemon in unreachable),
         *(render_level(burn) for burn in burns),
         '</body></html>',
     ]
--- a/quetzalcourse/commands/demo.py
+++ b/quetzalcourse/commands/demo.py
@@ -28,7 +28,7 @@
 GROUPS = 8
 SAMPLES_PER_GROUP = 8
 HUMAN_CALLS = 8
-READ_PAUSE = timedelta(milliseconds=100)
+READ_POLL_INTERVAL = timedelta(milliseconds=100)
 HTTP_OK = 200
 
 
@@ -147,7 +147,7 @@
         samples_per_group=SAMPLES_PER_GROUP,
         weight_version=1,
     )
-    client = TrainerClient([url], TRAINER_KEY, poll=READ_PAUSE)
+    client = TrainerClient([url], TRAINER_KEY, poll=READ_POLL_INTERVAL)
     async with client as trainer:
         await trainer.create(body)
         samples = [
--- a/quetzalcourse/commands/output.py
+++ b/quetzalcourse/commands/output.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-GAP = '  '
+COLUMN_GAP = '  '
 
 
 def write_line(text: str) -> None:
@@ -33,4 +33,4 @@
         cells = (
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         )
-        write_line(GAP.join(cells).rstrip())
+        write_line(COLUMN_GAP.join(cells).rstrip())
--- a/quetzalcourse/commands/platform_demo.py
+++ b/quetzalcourse/commands/platform_demo.py
@@ -12,15 +12,15 @@
 from quetzalcourse.standins.rollout.world import RolloutWorld, build_batch
 
 if TYPE_CHECKING:
-    Shown = tuple[str, str, str]
+    DemoRow = tuple[str, str, str]
 
 LOOKUPS = 8
 ITEMS = [f'item-{number}' for number in range(24)]
 NAMED_VERSION = 2
 # A request for tokens takes longer than the demo waits before it ends the
 # owner of its batch.
-SLOWNESS = 4
-BEFORE_END = timedelta(milliseconds=300)
+SLOWDOWN_FACTOR = 4
+DELAY_BEFORE_STOP = timedelta(milliseconds=300)
 VERSION_SECONDS = 10
 POLL_SECONDS = 0.05
 OK = 200
@@ -44,7 +44,7 @@
     return 0
 
 
-async def _look_up(world: RolloutWorld) -> Shown:
+async def _look_up(world: RolloutWorld) -> DemoRow:
     replies = [
         await world.caller.call(
             world.address(number % 2),
@@ -59,7 +59,7 @@
     return ('lookups through both daemons', str(LOOKUPS), f'{served} served')
 
 
-async def _load_version(world: RolloutWorld) -> Shown:
+async def _load_version(world: RolloutWorld) -> DemoRow:
     await world.store.write(
         'op',
         f'version/{documents.MODEL}',
@@ -79,14 +79,14 @@
     )
 
 
-async def _run_batch(world: RolloutWorld) -> Shown:
+async def _run_batch(world: RolloutWorld) -> DemoRow:
     for engine in world.engines:
-        engine.faults.slow = SLOWNESS
+        engine.faults.slow = SLOWDOWN_FACTOR
     batch = build_batch(ITEMS, scored=True, min_version=NAMED_VERSION)
     reply = await world.caller.submit(world.address(), 'batch-1', batch)
     if reply.status != ACCEPTED:
         raise AbortError(f'batch-1: status {reply.status}')
-    await asyncio.sleep(BEFORE_END.total_seconds())
+    await asyncio.sleep(DELAY_BEFORE_STOP.total_seconds())
     await world.end_daemon(world.daemons[0])
     results = await world.caller.read_all(world.address(1), 'batch-1')
     versions = sorted({one for each in results for one in each['versions']})
@@ -99,7 +99,7 @@
     )
 
 
-async def _count_usage(world: RolloutWorld) -> Shown:
+async def _count_usage(world: RolloutWorld) -> DemoRow:
     async with asyncio.timeout(documents.WINDOW_SECONDS * 5):
         while not any(report.counts for report in world.cloud.reports):
             await asyncio.sleep(POLL_SECONDS)
--- a/quetzalcourse/commands/quarantine.py
+++ b/quetzalcourse/commands/quarantine.py
@@ -27,11 +27,11 @@
     from collections.abc import Awaitable, Callable
 
     from quetzalcourse.coordination.ports import Table
-    from quetzalcourse.deployment import StoreParts
+    from quetzalcourse.deployment import StoreClients
 
-    Action = Callable[[StoreParts, argparse.Namespace], Awaitable[int]]
+    Action = Callable[[StoreClients, argparse.Namespace], Awaitable[int]]
 
-NOT_FOUND = 1
+EXIT_NOT_FOUND = 1
 MILLISECOND = timedelta(milliseconds=1)
 
 
@@ -79,10 +79,10 @@
     :returns: 0 if it was done.
     :raises AbortError: if the settings are faulty or the store fails.
     """
-    return run_loop(call(options.action, options))
+    return run_loop(run_action(options.action, options))
 
 
-async def call(action: Action, options: argparse.Namespace) -> int:
+async def run_action(action: Action, options: argparse.Namespace) -> int:
     """Open the store for the length of an action.
 
     :raises AbortError: if the settings are faulty.
@@ -98,43 +98,45 @@
         await deployment.close()
 
 
-async def list_requests(store: StoreParts, options: argparse.Namespace) -> int:
+async def list_requests(
+    store: StoreClients, options: argparse.Namespace
+) -> int:
     """Print the quarantined requests."""
     found = await read_requests(store)
     if options.json:
-        write_json({'quarantined': [asdict(one) for one in found]})
+        write_json({'quarantined': [asdict(request) for request in found]})
         return 0
     header = ('FINGERPRINT', 'AGE', 'TRIALS', 'UPSTREAMS')
     write_table(
         header,
         [
             (
-                one.fingerprint,
-                f'{one.age_seconds} s',
-                str(one.trials),
-                ' '.join(one.upstreams),
+                request.fingerprint,
+                f'{request.age_seconds} s',
+                str(request.trials),
+                ' '.join(request.upstreams),
             )
-            for one in found
+            for request in found
         ],
     )
     return 0
 
 
-async def lift_request(store: StoreParts, options: argparse.Namespace) -> int:
+async def lift_request(store: StoreClients, options: argparse.Namespace) -> int:
     """Remove the row of a request, which all daemons follow.
 
     :returns: 0 if it was quarantined.
     """
     found = await read_requests(store)
-    if options.fingerprint not in {one.fingerprint for one in found}:
+    if options.fingerprint not in {request.fingerprint for request in found}:
         write_line(f'{options.fingerprint} is not quarantined')
-        return NOT_FOUND
+        return EXIT_NOT_FOUND
     await _remove(store.table, options.fingerprint)
     write_line(f'{options.fingerprint} may run again')
     return 0
 
 
-async def read_requests(store: StoreParts) -> list[QuarantinedRequest]:
+async def read_requests(store: StoreClients) -> list[QuarantinedRequest]:
     """Read the quarantined requests.
 
     :raises AbortError: if the store fails.
--- a/quetzalcourse/commands/report.py
+++ b/quetzalcourse/commands/report.py
@@ -82,18 +82,18 @@
     levels: list[ServiceLevel],
 ) -> int:
     events: dict[str, LevelEvents] = {}
-    silent = await collect_events(options.daemon, events)
-    if len(silent) == len(options.daemon):
-        raise AbortError(f'no daemon answers: {", ".join(silent)}')
+    unreachable = await collect_events(options.daemon, events)
+    if len(unreachable) == len(options.daemon):
+        raise AbortError(f'no daemon answers: {", ".join(unreachable)}')
     if options.platform:
         await replace_accounts(options.platform, levels, events)
     burns = compute_burns(levels, events)
     if options.html:
-        options.html.write_text(render_page(burns, silent))
+        options.html.write_text(render_page(burns, unreachable))
     if options.json:
-        write_json(build_document(burns, silent))
+        write_json(build_document(burns, unreachable))
     else:
-        print_burns(burns, silent)
+        print_burns(burns, unreachable)
     return 0
 
 
@@ -132,7 +132,7 @@
     :param events: events by service level, added to in place.
     :returns: daemons that gave no answer.
     """
-    silent = []
+    unreachable = []
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         for daemon in daemons:
@@ -141,17 +141,17 @@
                 async with session.get(url) as answer:
                     read_events(await answer.text(), events)
             except (aiohttp.ClientError, TimeoutError):
-                silent.append(daemon)
-    return silent
+                unreachable.append(daemon)
+    return unreachable
 
 
-def print_burns(burns: Sequence[LevelBurn], silent: Sequence[str]) -> None:
+def print_burns(burns: Sequence[LevelBurn], unreachable: Sequence[str]) -> None:
     """Print the burns as a table.
 
-    :param silent: daemons whose events are missing.
+    :param unreachable: daemons whose events are missing.
     """
     write_table(HEADER, [format_burn(burn) for burn in burns])
-    for daemon in silent:
+    for daemon in unreachable:
         write_line(f'no answer from {daemon}: its events are missing')
 
 
@@ -173,7 +173,7 @@
 
 def build_document(
     burns: Sequence[LevelBurn],
-    silent: Sequence[str],
+    unreachable: Sequence[str],
 ) -> dict[str, Any]:
     """Build the report for a script."""
     return {
@@ -194,5 +194,5 @@
             }
             for burn in burns
         ],
-        'silent_daemons': list(silent),
+        'silent_daemons': list(unreachable),
     }
--- a/quetzalcourse/commands/trace.py
+++ b/quetzalcourse/commands/trace.py
@@ -15,10 +15,10 @@
     from collections.abc import Iterable, Iterator
 
 # Fields that name what a line is about.
-SUBJECTS = ('request_id', 'batch', 'item', 'call', 'fingerprint')
+ID_FIELDS = ('request_id', 'batch', 'item', 'call', 'fingerprint')
 # Fields that every line has, or that the story shows elsewhere.
-COMMON = frozenset(('event', 'level', 'timestamp', 'part', 'vm'))
-NOT_FOUND = 1
+COMMON_FIELDS = frozenset(('event', 'level', 'timestamp', 'part', 'vm'))
+EXIT_NOT_FOUND = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,18 +61,18 @@
             for line in read_lines(lines, path.stem):
                 if line is None:
                     unreadable += 1
-                elif concerns(line, options.id):
+                elif matches_id(line, options.id):
                     found.append(line)
-    for line in add_batches(found, options):
-        write_line(render(line))
+    for line in add_batch_lines(found, options):
+        write_line(format_line(line))
     if unreadable:
         sys.stderr.write(
             f'{unreadable} lines could not be read; the story may have gaps\n'
         )
-    return 0 if found else NOT_FOUND
+    return 0 if found else EXIT_NOT_FOUND
 
 
-def add_batches(
+def add_batch_lines(
     found: list[TraceLine],
     options: argparse.Namespace,
 ) -> list[TraceLine]:
@@ -90,8 +90,8 @@
             for line in read_lines(source, path.stem):
                 if line is None or 'item' in line.details:
                     continue
-                about = str(line.details.get('batch', ''))
-                if about in batches and about != options.id:
+                batch = str(line.details.get('batch', ''))
+                if batch in batches and batch != options.id:
                     lines.append(line)
     return sorted(lines, key=lambda line: (line.timestamp, line.source))
 
@@ -124,16 +124,16 @@
             str(fields.get('vm', collector[-1])),
             str(fields.get('part', '')),
             str(fields.get('event', '')),
-            {key: fields[key] for key in fields if key not in COMMON},
+            {key: fields[key] for key in fields if key not in COMMON_FIELDS},
         )
 
 
-def concerns(line: TraceLine, subject: str) -> bool:
+def matches_id(line: TraceLine, wanted: str) -> bool:
     """Tell whether a line is about a request, a batch, an item or its score."""
-    return any(line.details.get(name) == subject for name in SUBJECTS)
+    return any(line.details.get(name) == wanted for name in ID_FIELDS)
 
 
-def render(line: TraceLine) -> str:
+def format_line(line: TraceLine) -> str:
     """Write a line for a person."""
     details = ' '.join(f'{name}={text}' for name, text in line.details.items())
     clock = line.timestamp.partition('T')[2].rstrip('Z') or '-'
--- a/quetzalcourse/coordination/forwarding/cold_start.py
+++ b/quetzalcourse/coordination/forwarding/cold_start.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.coordination.ports import MemberView
-    from quetzalcourse.settings.rollout import ColdStartTerms
+    from quetzalcourse.settings.rollout import ColdStartTolerance
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.routing import ColdStart, RoutingManifest
 
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        terms: ColdStartTerms,
+        terms: ColdStartTolerance,
         members: MemberView,
         coordinators: Coordinators,
         clock: Clock,
@@ -134,7 +134,9 @@
         return budget // len(senders)
 
 
-def compute_sender_budget(cold_start: ColdStart, terms: ColdStartTerms) -> int:
+def compute_sender_budget(
+    cold_start: ColdStart, terms: ColdStartTolerance
+) -> int:
     """Return the requests a second that the senders of one view share."""
     limit = cold_start.requests_per_second * terms.overage + terms.slack
     return int(limit / MAX_DIVERGENT_VIEWS)
--- a/quetzalcourse/daemon.py
+++ b/quetzalcourse/daemon.py
@@ -14,9 +14,9 @@
 
 from quetzalcourse import __version__
 from quetzalcourse.exceptions import AbortError
-from quetzalcourse.library_log import collect_library_lines
+from quetzalcourse.library_log import capture_library_logs
 from quetzalcourse.log import configure_log, get_log
-from quetzalcourse.log_output import LineLimit, LineOutput
+from quetzalcourse.log_output import LogRateLimiter, NonBlockingOutput
 from quetzalcourse.loop import run_loop
 from quetzalcourse.platform.settings import find_file, load_file
 
@@ -26,9 +26,9 @@
     from quetzalcourse.transport.activity import Activity
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-EXIT_CUT = 1
+EXIT_REQUESTS_CUT = 1
 # Where OpenSSL looks for certificates of authorities.
-CERTIFICATE_SOURCES = ('SSL_CERT_FILE', 'SSL_CERT_DIR')
+CERTIFICATE_VARIABLES = ('SSL_CERT_FILE', 'SSL_CERT_DIR')
 log = get_log('daemon')
 
 
@@ -70,14 +70,14 @@
     """
     signals: asyncio.Queue[signal.Signals] = asyncio.Queue()
     loop = asyncio.get_running_loop()
-    for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, signals.put_nowait, number)
+    for stop_signal in STOP_SIGNALS:
+        loop.add_signal_handler(stop_signal, signals.put_nowait, stop_signal)
     # Left alone this signal would end the process and cut its callers.
-    loop.add_signal_handler(signal.SIGHUP, note_reload)
+    loop.add_signal_handler(signal.SIGHUP, log_reload_request)
     return await run_application(application, signals)
 
 
-def note_reload() -> None:
+def log_reload_request() -> None:
     """Note that the settings file has changed.
 
     Settings are read at the start; what may change while a daemon runs comes
@@ -103,15 +103,15 @@
         return 0
     await stop
     draining = asyncio.ensure_future(application.on_drain())
-    impatient = asyncio.ensure_future(signals.get())
-    if not await finish_before(draining, impatient):
+    second_signal = asyncio.ensure_future(signals.get())
+    if not await finish_before(draining, second_signal):
         log.warning('Drain was ended by a signal.')
-    impatient.cancel()
+    second_signal.cancel()
     cut = application.activity.serving
     if cut:
         log.warning('Requests were cut.', cut=cut)
     await application.on_stop()
-    return EXIT_CUT if cut else 0
+    return EXIT_REQUESTS_CUT if cut else 0
 
 
 async def finish_before(
@@ -152,14 +152,14 @@
     return await serve(Application(settings))
 
 
-def skip_certificates() -> None:
+def disable_certificate_loading() -> None:
     """Keep libraries from reading the machine's certificates.
 
     On a platform everything is reached over plain HTTP. aiohttp reads the
     certificates when it is imported all the same, which is a large share of
     the time in which a killed daemon is back.
     """
-    for name in CERTIFICATE_SOURCES:
+    for name in CERTIFICATE_VARIABLES:
         os.environ[name] = os.devnull
 
 
@@ -168,7 +168,7 @@
 
     :raises AbortError: if the settings have faults.
     """
-    skip_certificates()
+    disable_certificate_loading()
     from quetzalcourse.platform.deployment import (  # noqa: PLC0415, WPS433
         PlatformDeployment,
     )
@@ -179,12 +179,12 @@
     loaded = load_file(path)
     if isinstance(loaded, Err):
         raise AbortError(loaded.err_value)
-    output = LineOutput(sys.stdout.fileno())
-    limit = LineLimit()
+    output = NonBlockingOutput(sys.stdout.fileno())
+    limit = LogRateLimiter()
     configure_log('info', 'json', output, limit, loaded.ok_value.node_name)
-    collect_library_lines()
+    capture_library_logs()
     application = RolloutApplication(PlatformDeployment(loaded.ok_value))
-    application.watch_log(output, limit)
+    application.attach_log_output(output, limit)
     return await serve(application)
 
 
--- a/quetzalcourse/deployment.py
+++ b/quetzalcourse/deployment.py
@@ -23,7 +23,7 @@
     from quetzalcourse.transport.dialect import CallerDialect, UpstreamDialect
 
 
-class StoreParts(Protocol):
+class StoreClients(Protocol):
     """The platform's store: rows, changes and a clock."""
 
     @property
@@ -99,13 +99,13 @@
     def readiness_path(self) -> str:
         """Path that the balancer asks."""
 
-    def open_store(self, clock: Clock, counters: Counters) -> StoreParts:
+    def open_store(self, clock: Clock, counters: Counters) -> StoreClients:
         """Open connections to the store."""
 
-    def open_control(self) -> UpstreamControl:
+    def open_upstream_control(self) -> UpstreamControl:
         """Open connections for orders to upstreams."""
 
-    def open_reports(self) -> UsageReportSender:
+    def open_usage_reports(self) -> UsageReportSender:
         """Open connections for reports of usage."""
 
     async def close(self) -> None:
--- a/quetzalcourse/duty_parts.py
+++ b/quetzalcourse/duty_components.py
@@ -19,7 +19,7 @@
     from quetzalcourse.coordination.feeds.presence import Presence
     from quetzalcourse.coordination.forwarding.pool import Pool
     from quetzalcourse.coordination.forwarding.route_table import RouteTable
-    from quetzalcourse.deployment import Deployment, StoreParts
+    from quetzalcourse.deployment import Deployment, StoreClients
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.state.counters import Counters
 
@@ -28,34 +28,34 @@
 FENCE_KEY = 'duties/all/fence'
 # A holder that died is followed within three seconds: a step that waits for
 # its weights still has most of its time then.
-TERMS = LeaseTimings(
+LEASE_TIMINGS = LeaseTimings(
     term=timedelta(seconds=2),
     margin=timedelta(seconds=0.25),
     order_timeout=timedelta(seconds=0.65),
 )
-USAGE = 'usage'
+USAGE_DUTY = 'usage'
 
 
 @dataclass(frozen=True, slots=True)
-class DutyParts:
+class DutyComponents:
     """All that one daemon at a time does.
 
-    :param leadership: time within which two holders must not take turns.
+    :param min_lease_hold: time within which two holders must not take turns.
     """
 
     lease: Lease
-    keeper: LeaderElector
-    orders: LoadController
-    reporter: WindowReporter
-    leadership: timedelta
+    elector: LeaderElector
+    load_controller: LoadController
+    usage_reporter: WindowReporter
+    min_lease_hold: timedelta
     duties: frozenset[str]
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run the parts in the background."""
-        lifecycle.run('duty lease', self.keeper.run)
-        lifecycle.run('load orders', self.orders.run)
-        if USAGE in self.duties:
-            lifecycle.run('usage', self.reporter.run)
+        lifecycle.run('duty lease', self.elector.run)
+        lifecycle.run('load orders', self.load_controller.run)
+        if USAGE_DUTY in self.duties:
+            lifecycle.run('usage', self.usage_reporter.run)
 
     async def hand_over(self) -> None:
         """Let the next holder begin at once, unless turns were too quick.
@@ -63,21 +63,21 @@
         Two daemons that stop one after the other would otherwise pass the
         duty to and fro faster than receivers can tell them apart.
         """
-        self.keeper.stop_renewing()
-        if self.lease.held_for > self.leadership:
-            await self.keeper.release()
+        self.elector.stop_renewing()
+        if self.lease.held_for > self.min_lease_hold:
+            await self.elector.release()
 
 
-def build_duty_parts(
+def build_duty_components(
     deployment: Deployment,
-    store: StoreParts,
+    store: StoreClients,
     incarnation: str,
     presence: Presence,
     pool: Pool,
     routes: RouteTable,
     wall_clock: WallClockEstimate,
     counters: Counters,
-) -> DutyParts:
+) -> DutyComponents:
     """Build the parts and connect them.
 
     :param incarnation: name of this run of the daemon.
@@ -85,12 +85,17 @@
     """
     settings = deployment.settings
     lease = Lease(
-        store.table, wall_clock, LEASE_KEY, incarnation, TERMS, FENCE_KEY
+        store.table,
+        wall_clock,
+        LEASE_KEY,
+        incarnation,
+        LEASE_TIMINGS,
+        FENCE_KEY,
     )
     lease.is_predecessor = partial(_is_predecessor, incarnation)
-    keeper = LeaderElector(lease, presence, wall_clock, counters)
-    orders = LoadController(
-        deployment.open_control(),
+    elector = LeaderElector(lease, presence, wall_clock, counters)
+    load_controller = LoadController(
+        deployment.open_upstream_control(),
         lease,
         pool,
         routes,
@@ -98,22 +103,22 @@
         counters,
         settings.vm,
     )
-    keeper.on_held(orders.on_lease)
-    return DutyParts(
+    elector.on_held(load_controller.on_lease)
+    return DutyComponents(
         lease,
-        keeper,
-        orders,
+        elector,
+        load_controller,
         WindowReporter(
             presence,
             store.table,
-            deployment.open_reports(),
+            deployment.open_usage_reports(),
             lease,
             wall_clock,
             counters,
-            settings.terms.usage_window,
-            settings.terms.usage_due,
+            settings.timings.usage_window,
+            settings.timings.usage_report_delay,
         ),
-        settings.terms.leadership,
+        settings.timings.min_lease_hold,
         settings.duties,
     )
 
--- a/quetzalcourse/feed_parts.py
+++ b/quetzalcourse/feed_components.py
@@ -20,7 +20,7 @@
     from quetzalcourse.coordination.duties.usage_windows import WindowCounts
     from quetzalcourse.coordination.feeds.wall_clock import WallClockEstimate
     from quetzalcourse.coordination.ports import Peers
-    from quetzalcourse.deployment import Documents, StoreParts
+    from quetzalcourse.deployment import Documents, StoreClients
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
@@ -31,9 +31,9 @@
 # writes there, so the pauses grow with the daemons, and the store's reads
 # stay the same: 125 a second of heartbeats and 200 of batches.
 HEARTBEAT_READ_PAUSE = timedelta(milliseconds=250)
-HEARTBEAT_READ_PAUSE_EACH = timedelta(milliseconds=8)
-BATCH_PAUSE = timedelta(milliseconds=100)
-BATCH_PAUSE_EACH = timedelta(milliseconds=5)
+HEARTBEAT_READ_PAUSE_PER_DAEMON = timedelta(milliseconds=8)
+BATCH_READ_PAUSE = timedelta(milliseconds=100)
+BATCH_READ_PAUSE_PER_DAEMON = timedelta(milliseconds=5)
 # Rows that a daemon may reach by way of another one.
 RELAYED_TABLES = (
     batch_rows.TABLE,
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FeedParts:
+class FeedComponents:
     """What a daemon knows of the store's tables and of the others.
 
     :param store: rows of batches and members, directly or by others.
@@ -56,19 +56,21 @@
     batches: TableFollower
     members: TableFollower
     presence: presence.Presence
-    reach: StoreReadiness
+    store_readiness: StoreReadiness
     relay: FeedRelay
     store: StoreRelay
-    helpers: RelayPeers
+    relay_peers: RelayPeers
     probes: LivenessProbes
 
     def on_members(self) -> None:
         """Read less often where there are more daemons."""
         count = len(self.presence.records)
         self.members.pause = max(
-            HEARTBEAT_READ_PAUSE, HEARTBEAT_READ_PAUSE_EACH * count
+            HEARTBEAT_READ_PAUSE, HEARTBEAT_READ_PAUSE_PER_DAEMON * count
+        )
+        self.batches.pause = max(
+            BATCH_READ_PAUSE, BATCH_READ_PAUSE_PER_DAEMON * count
         )
-        self.batches.pause = max(BATCH_PAUSE, BATCH_PAUSE_EACH * count)
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run the parts in the background."""
@@ -81,16 +83,16 @@
         lifecycle.run('liveness probes', self.probes.run)
 
 
-def build_feed_parts(
+def build_feed_components(
     own: Member,
     documents: Documents,
-    store: StoreParts,
+    store: StoreClients,
     peers: Peers,
     counts: WindowCounts,
     wall_clock: WallClockEstimate,
     clock: Clock,
     counters: Counters,
-) -> FeedParts:
+) -> FeedComponents:
     """Build the parts and connect them.
 
     :param own: this daemon.
@@ -111,49 +113,53 @@
         counters,
         single_part=True,
     )
-    helpers = RelayPeers(operators, clock)
-    by_others = StoreRelay(
-        store.table, store.feed, peers, helpers, RELAYED_TABLES, counters
+    relay_peers = RelayPeers(operators, clock)
+    relayed_store = StoreRelay(
+        store.table, store.feed, peers, relay_peers, RELAYED_TABLES, counters
     )
     batches = TableFollower(
-        by_others, batch_rows.TABLE, clock, counters, pause=BATCH_PAUSE
+        relayed_store, batch_rows.TABLE, clock, counters, pause=BATCH_READ_PAUSE
     )
     members = TableFollower(
-        by_others, presence.TABLE, clock, counters, pause=HEARTBEAT_READ_PAUSE
+        relayed_store,
+        presence.TABLE,
+        clock,
+        counters,
+        pause=HEARTBEAT_READ_PAUSE,
     )
     heartbeats = presence.Presence(
         own,
-        by_others,
+        relayed_store,
         members,
         clock,
         counts.describe,
         counts.restore,
         wall_clock,
     )
-    reach = StoreReadiness(operators, heartbeats, clock)
+    store_readiness = StoreReadiness(operators, heartbeats, clock)
     relay = FeedRelay(
         (operators, upstreams),
         peers,
         heartbeats,
-        reach,
-        helpers,
+        store_readiness,
+        relay_peers,
         clock,
         counters,
     )
-    parts = FeedParts(
+    parts = FeedComponents(
         operators,
         upstreams,
         batches,
         members,
         heartbeats,
-        reach,
+        store_readiness,
         relay,
-        by_others,
-        helpers,
+        relayed_store,
+        relay_peers,
         LivenessProbes(
             heartbeats,
             peers,
-            partial(_reaches_store, operators, helpers),
+            partial(_can_reach_store, operators, relay_peers),
             clock,
         ),
     )
@@ -161,6 +167,6 @@
     return parts
 
 
-def _reaches_store(follower: TableFollower, helpers: RelayPeers) -> bool:
+def _can_reach_store(follower: TableFollower, relay_peers: RelayPeers) -> bool:
     """Tell whether the store answers, or answers a daemon that helps."""
-    return not follower.store_unavailable or helpers.find() is not None
+    return not follower.store_unavailable or relay_peers.find() is not None
--- a/quetzalcourse/incarnation.py
+++ b/quetzalcourse/incarnation.py
@@ -4,12 +4,12 @@
 
 import os
 
-INCARNATION_BYTES = 4
+INCARNATION_SUFFIX_BYTES = 4
 
 
-def name_incarnation(vm: str) -> str:
+def generate_incarnation(vm: str) -> str:
     """Name one run of a daemon, different from every run before."""
-    return f'{vm}-{os.urandom(INCARNATION_BYTES).hex()}'
+    return f'{vm}-{os.urandom(INCARNATION_SUFFIX_BYTES).hex()}'
 
 
 def read_vm(incarnation: str) -> str:
--- a/quetzalcourse/lease_parts.py
+++ b/quetzalcourse/lease_components.py
@@ -38,31 +38,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseParts:
+class LeaseComponents:
     """Leases of the deployment, and the work that their holders do."""
 
-    keepers: tuple[LeaderElector, ...]
+    electors: tuple[LeaderElector, ...]
     usage: UsageCounter
-    copies: UsageReplicator
-    reporter: UsageReporter
+    replicator: UsageReplicator
+    usage_reporter: UsageReporter
     demand: DemandAggregator
     orders: FleetOrders
     fleet: FleetController
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run everything for as long as the daemon does."""
-        lifecycle.run('usage copies', self.copies.run_replication)
-        lifecycle.run('usage rows', self.copies.run_storing)
-        lifecycle.run('usage reports', self.reporter.run)
+        lifecycle.run('usage copies', self.replicator.run_replication)
+        lifecycle.run('usage rows', self.replicator.run_storing)
+        lifecycle.run('usage reports', self.usage_reporter.run)
         lifecycle.run('demand', self.demand.run)
         lifecycle.run('fleet', self.fleet.run)
-        for keeper in self.keepers:
-            lifecycle.run(keeper.lease.key, keeper.run)
+        for elector in self.electors:
+            lifecycle.run(elector.lease.key, elector.run)
         lifecycle.on_drain(self.on_drain)
 
     def describe(self) -> dict[str, Any]:
         """Tell who holds each lease, as far as this daemon knows."""
-        statuses = [keeper.lease.describe() for keeper in self.keepers]
+        statuses = [elector.lease.describe() for elector in self.electors]
         return {status.lease: asdict(status) for status in statuses}
 
     async def on_drain(self) -> None:
@@ -71,29 +71,29 @@
         What is on its way is waited for, since the next holder starts at
         once and its orders must not meet those of this one.
         """
-        for keeper in self.keepers:
-            keeper.stop_renewing()
-        await self.reporter.in_flight.finish()
+        for elector in self.electors:
+            elector.stop_renewing()
+        await self.usage_reporter.in_flight.finish()
         await self.orders.in_flight.finish()
-        for keeper in self.keepers:
-            await keeper.release()
+        for elector in self.electors:
+            await elector.release()
 
     async def on_stop(self) -> None:
         """Store what was counted, and give up what no drain gave up."""
-        await self.copies.flush()
+        await self.replicator.flush()
         await self.on_drain()
 
 
-def read_terms(times: LeaseSettings) -> LeaseTimings:
+def read_lease_timings(settings: LeaseSettings) -> LeaseTimings:
     """Turn the settings of leases into their terms."""
     return LeaseTimings(
-        timedelta(seconds=times.term_seconds),
-        timedelta(seconds=times.margin_seconds),
-        timedelta(seconds=times.order_timeout_seconds),
+        timedelta(seconds=settings.term_seconds),
+        timedelta(seconds=settings.margin_seconds),
+        timedelta(seconds=settings.order_timeout_seconds),
     )
 
 
-def build_lease_parts(
+def build_lease_components(
     settings: ProcessSettings,
     incarnation: str,
     session: aiohttp.ClientSession,
@@ -102,16 +102,16 @@
     members: MemberView,
     clock: Clock,
     counters: Counters,
-) -> LeaseParts:
+) -> LeaseComponents:
     """Build the parts and connect them.
 
     :param incarnation: name of this run of the daemon.
     :param session: shared connections to the platform.
     """
-    terms = read_terms(settings.lease)
-    length = timedelta(seconds=settings.usage.window_seconds)
-    usage = UsageCounter(clock, incarnation, length)
-    copies = UsageReplicator(
+    timings = read_lease_timings(settings.lease)
+    window_length = timedelta(seconds=settings.usage.window_seconds)
+    usage = UsageCounter(clock, incarnation, window_length)
+    replicator = UsageReplicator(
         usage,
         UsageRowStore(table),
         peers,
@@ -126,17 +126,17 @@
         incarnation,
         settings.lease.order_timeout_seconds,
     )
-    usage_lease = Lease(table, clock, USAGE_LEASE, incarnation, terms)
-    reporter = UsageReporter(
+    usage_lease = Lease(table, clock, USAGE_LEASE, incarnation, timings)
+    usage_reporter = UsageReporter(
         table,
         client,
         usage_lease,
         clock,
         counters,
-        length,
+        window_length,
         timedelta(seconds=settings.usage.grace_seconds),
     )
-    order_lease = Lease(table, clock, ORDER_LEASE, incarnation, terms)
+    order_lease = Lease(table, clock, ORDER_LEASE, incarnation, timings)
     demand = DemandAggregator(ORDER_LEASE, usage, peers, members, clock)
     orders = FleetOrders(table, client, order_lease, clock, counters)
     fleet = FleetController(
@@ -148,8 +148,10 @@
         clock,
         counters,
     )
-    keepers = tuple(
+    electors = tuple(
         LeaderElector(lease, members, clock, counters)
         for lease in (usage_lease, order_lease)
     )
-    return LeaseParts(keepers, usage, copies, reporter, demand, orders, fleet)
+    return LeaseComponents(
+        electors, usage, replicator, usage_reporter, demand, orders, fleet
+    )
--- a/quetzalcourse/library_log.py
+++ b/quetzalcourse/library_log.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from types import TracebackType
 
-MAX_MESSAGE = 300
+MAX_MESSAGE_LENGTH = 300
 log = get_log('library')
 
 
-class LibraryHandler(logging.Handler):
+class LibraryLogHandler(logging.Handler):
     """Writes what a library reports as one line.
 
     Without it Python writes such reports to standard error, as traces of
@@ -29,22 +29,24 @@
             record.levelno,
             'Library reports.',
             library=record.name,
-            report=record.getMessage()[:MAX_MESSAGE],
+            report=record.getMessage()[:MAX_MESSAGE_LENGTH],
             error='' if error is None else type(error).__name__,
-            place='' if error is None else find_place(error.__traceback__),
+            place=''
+            if error is None
+            else find_error_location(error.__traceback__),
         )
 
 
-def find_place(trace: TracebackType | None) -> str:
+def find_error_location(traceback: TracebackType | None) -> str:
     """Tell the innermost file and line of a trace."""
-    place = ''
-    while trace is not None:
-        name = Path(trace.tb_frame.f_code.co_filename).name
-        place = f'{name}:{trace.tb_lineno}'
-        trace = trace.tb_next
-    return place
+    location = ''
+    while traceback is not None:
+        name = Path(traceback.tb_frame.f_code.co_filename).name
+        location = f'{name}:{traceback.tb_lineno}'
+        traceback = traceback.tb_next
+    return location
 
 
-def collect_library_lines() -> None:
+def capture_library_logs() -> None:
     """Take the reports of all libraries from now on."""
-    logging.basicConfig(handlers=[LibraryHandler()], level=logging.WARNING)
+    logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING)
--- a/quetzalcourse/lifecycle.py
+++ b/quetzalcourse/lifecycle.py
@@ -17,9 +17,9 @@
 
     Hook = Callable[[], Awaitable[None]]
 
-RESTART_WAIT = timedelta(seconds=1)
+RESTART_DELAY = timedelta(seconds=1)
 # Parts stop within milliseconds; this is for one that hangs.
-STOP_PATIENCE = timedelta(seconds=2)
+STOP_TIMEOUT = timedelta(seconds=2)
 log = get_log('lifecycle')
 
 
@@ -60,7 +60,9 @@
         :param name: name of the task, for logs.
         :param body: runs until cancelled; started again after a fault.
         """
-        task = asyncio.get_running_loop().create_task(self._keep(name, body))
+        task = asyncio.get_running_loop().create_task(
+            self._run_repeatedly(name, body)
+        )
         self._tasks.append(task)
 
     async def start(self) -> None:
@@ -82,24 +84,26 @@
             # A part that lost its cancellation, or waits for a peer that
             # never answers, must not keep the process from its end.
             await asyncio.wait(
-                self._tasks, timeout=STOP_PATIENCE.total_seconds()
+                self._tasks, timeout=STOP_TIMEOUT.total_seconds()
             )
         for hook in reversed(self._stop_hooks):
-            await self._call_safely('stop', partial(self._stop_one, hook))
+            await self._call_safely(
+                'stop', partial(self._stop_with_timeout, hook)
+            )
 
-    async def _stop_one(self, hook: Hook) -> None:
+    async def _stop_with_timeout(self, hook: Hook) -> None:
         try:
-            async with asyncio.timeout(STOP_PATIENCE.total_seconds()):
+            async with asyncio.timeout(STOP_TIMEOUT.total_seconds()):
                 await hook()
         except TimeoutError:
             log.warning('Part did not stop in time.')
 
-    async def _keep(self, name: str, body: Hook) -> None:
+    async def _run_repeatedly(self, name: str, body: Hook) -> None:
         # A task that ended by a fault would leave its part silently stale:
         # no new manifest, no heartbeat. It is started again and counted.
         while True:
             await self._call_safely(name, body)
-            await self._clock.sleep(RESTART_WAIT)
+            await self._clock.sleep(RESTART_DELAY)
 
     async def _call_safely(self, name: str, hook: Hook) -> None:
         try:
--- a/quetzalcourse/log.py
+++ b/quetzalcourse/log.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-    from quetzalcourse.log_output import LineLimit, LineOutput
+    from quetzalcourse.log_output import LogRateLimiter, NonBlockingOutput
 
 FORMATS = ('console', 'json')
 
@@ -19,8 +19,8 @@
 def configure_log(
     level: str,
     log_format: str,
-    output: TextIO | LineOutput = sys.stderr,
-    limit: LineLimit | None = None,
+    output: TextIO | NonBlockingOutput = sys.stderr,
+    limit: LogRateLimiter | None = None,
     vm: str = '',
 ) -> None:
     """Set up logging for the process.
@@ -32,9 +32,9 @@
     :param vm: named in every line, to tell daemons' lines apart once they
         are collected.
     """
-    bounds: list[Any] = [limit] if limit is not None else []
+    extra_processors: list[Any] = [limit] if limit is not None else []
     if vm:
-        bounds.append(VmName(vm))
+        extra_processors.append(VmNameProcessor(vm))
     renderer: Any = structlog.processors.JSONRenderer()
     if log_format == 'console':
         renderer = structlog.dev.ConsoleRenderer(colors=False)
@@ -42,7 +42,7 @@
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
-            *bounds,
+            *extra_processors,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
             renderer,
         ],
@@ -53,7 +53,7 @@
     )
 
 
-class VmName:
+class VmNameProcessor:
     """Adds the name of the VM to lines."""
 
     def __init__(self, vm: str) -> None:
--- a/quetzalcourse/log_output.py
+++ b/quetzalcourse/log_output.py
@@ -18,24 +18,24 @@
 # requests a daemon, each with a few lines.
 LINES_PER_SECOND = 100
 # Lines that wait for a slow reader; about ten seconds of a busy daemon.
-WAITING_BYTES = 262_144
+BUFFER_BYTES = 262_144
 
 
 @dataclass(slots=True)
-class Allowance:
+class TokenBucket:
     """Lines of one event.
 
-    :param left: lines that may still be written.
-    :param refilled: when it was last refilled, in seconds.
-    :param left_out: lines that were not written since the last one.
+    :param tokens: lines that may still be written.
+    :param refilled_at: when it was last refilled, in seconds.
+    :param suppressed: lines that were not written since the last one.
     """
 
-    left: float
-    refilled: float
-    left_out: int = 0
+    tokens: float
+    refilled_at: float
+    suppressed: int = 0
 
 
-class LineLimit:
+class LogRateLimiter:
     """Lets a bounded number of lines of each event pass.
 
     A flood of one kind, as of refusals while a service is down, would
@@ -50,10 +50,10 @@
         read_time: Callable[[], float] = time.monotonic,
     ) -> None:
         """Begin with a full allowance for every event."""
-        self.left_out = 0
-        self._rate = lines_per_second
+        self.suppressed = 0
+        self._lines_per_second = lines_per_second
         self._read_time = read_time
-        self._allowances: dict[str, Allowance] = {}
+        self._buckets: dict[str, TokenBucket] = {}
 
     def __call__(
         self,
@@ -67,24 +67,24 @@
         """
         now = self._read_time()
         event = str(line.get('event', name))
-        allowance = self._allowances.setdefault(
-            event, Allowance(self._rate, now)
+        bucket = self._buckets.setdefault(
+            event, TokenBucket(self._lines_per_second, now)
         )
-        refill = (now - allowance.refilled) * self._rate
-        allowance.left = min(self._rate, allowance.left + refill)
-        allowance.refilled = now
-        if allowance.left < 1:
-            allowance.left_out += 1
-            self.left_out += 1
+        refill = (now - bucket.refilled_at) * self._lines_per_second
+        bucket.tokens = min(self._lines_per_second, bucket.tokens + refill)
+        bucket.refilled_at = now
+        if bucket.tokens < 1:
+            bucket.suppressed += 1
+            self.suppressed += 1
             raise structlog.DropEvent
-        allowance.left -= 1
-        if allowance.left_out:
-            line['left_out'] = allowance.left_out
-            allowance.left_out = 0
+        bucket.tokens -= 1
+        if bucket.suppressed:
+            line['left_out'] = bucket.suppressed
+            bucket.suppressed = 0
         return line
 
 
-class LineOutput:
+class NonBlockingOutput:
     """Writes lines to a descriptor without ever waiting for its reader.
 
     A reader that stops would stop the loop with the next line, and with it
@@ -96,57 +96,57 @@
     def __init__(
         self,
         descriptor: int,
-        waiting_bytes: int = WAITING_BYTES,
+        buffer_bytes: int = BUFFER_BYTES,
     ) -> None:
         """Begin with nothing waiting."""
         self.dropped = 0
         self._descriptor = descriptor
-        self._most = waiting_bytes
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
-        self._watched: asyncio.AbstractEventLoop | None = None
+        self._buffer_bytes = buffer_bytes
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        self._watched_loop: asyncio.AbstractEventLoop | None = None
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Write a line, or keep it until the reader goes on."""
         line = text.encode()
-        if self._size + len(line) > self._most:
+        if self._buffered_bytes + len(line) > self._buffer_bytes:
             self.dropped += 1
             return
-        self._waiting.append(line)
-        self._size += len(line)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
         self._flush()
 
     def flush(self) -> None:
         """Do nothing: lines are written as they come."""
 
     def _flush(self) -> None:
-        while self._waiting:
-            line = self._waiting[0]
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
-                self._watch()
+                self._watch_descriptor()
                 return
             except OSError:
                 self._drop_all()
                 return
-            self._size -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
             else:
-                self._waiting.popleft()
-        self._unwatch()
+                self._buffer.popleft()
+        self._unwatch_descriptor()
 
     def _drop_all(self) -> None:
         # Nobody reads any more; there is nowhere to say so.
-        self.dropped += len(self._waiting)
-        self._waiting.clear()
-        self._size = 0
-        self._unwatch()
+        self.dropped += len(self._buffer)
+        self._buffer.clear()
+        self._buffered_bytes = 0
+        self._unwatch_descriptor()
 
-    def _watch(self) -> None:
-        if self._watched is not None:
+    def _watch_descriptor(self) -> None:
+        if self._watched_loop is not None:
             return
         try:
             loop = asyncio.get_running_loop()
@@ -155,9 +155,9 @@
             # Before the loop runs, or for a file that can't be watched, the
             # next line tries again.
             return
-        self._watched = loop
+        self._watched_loop = loop
 
-    def _unwatch(self) -> None:
-        if self._watched is not None:
-            self._watched.remove_writer(self._descriptor)
-            self._watched = None
+    def _unwatch_descriptor(self) -> None:
+        if self._watched_loop is not None:
+            self._watched_loop.remove_writer(self._descriptor)
+            self._watched_loop = None
--- a/quetzalcourse/peering.py
+++ b/quetzalcourse/peering.py
@@ -37,8 +37,8 @@
     from quetzalcourse.state.members import Vm
     from quetzalcourse.transport.platform_client import PlatformClient
 
-LINK_CLEANING = timedelta(seconds=10)
-SEEDS_WAIT = timedelta(seconds=10)
+LINK_CLEANUP_INTERVAL = timedelta(seconds=10)
+SEEDS_REFRESH_INTERVAL = timedelta(seconds=10)
 SECRET_BYTES = 32
 
 
@@ -76,7 +76,7 @@
         )
         self.members = self._build_members(own)
 
-    def follow(
+    def build_store_sync(
         self,
         platform: PlatformClient,
         manifest: ManifestStore,
@@ -90,8 +90,10 @@
         self._platform = platform
         self._manifest = manifest
         self._keys = keys
-        wait = timedelta(seconds=self._settings.platform.refresh_seconds)
-        self.follower = StorePoller(
+        refresh_interval = timedelta(
+            seconds=self._settings.platform.refresh_seconds
+        )
+        self.store_poller = StorePoller(
             platform,
             manifest,
             KeyChangeLog(platform),
@@ -99,23 +101,25 @@
             self.members,
             self._clock,
             self._random,
-            wait,
+            refresh_interval,
         )
-        self.news = StoreFreshness(self.follower, self._clock)
-        self.cuts = PartitionTracker(
-            self.follower, self.members, self._clock, self._counters
+        self.freshness = StoreFreshness(self.store_poller, self._clock)
+        self.partitions = PartitionTracker(
+            self.store_poller, self.members, self._clock, self._counters
         )
-        shared = (
+        gossip_dependencies = (
             self.members,
             self.link,
             self._clock,
             self._random,
             self._counters,
         )
-        self.members.on_digest(ManifestGossip(manifest, *shared).on_digest)
-        self.members.on_digest(KeyGossip(keys, *shared).on_digest)
-        self.members.on_digest(self.news.on_digest)
-        self.members.build_digest = self._tell_digest
+        self.members.on_digest(
+            ManifestGossip(manifest, *gossip_dependencies).on_digest
+        )
+        self.members.on_digest(KeyGossip(keys, *gossip_dependencies).on_digest)
+        self.members.on_digest(self.freshness.on_digest)
+        self.members.build_digest = self._build_digest
         keys.is_current = self._is_current
 
     def on_vms(self, listener: Callable[[list[Vm]], None]) -> None:
@@ -126,11 +130,11 @@
         """Begin to talk to the other daemons and to follow the store."""
         self.link.start(self.members.own)
         lifecycle.run('membership', self.members.run)
-        lifecycle.run('seeds', self._follow_seeds)
-        await self.follower.poll()
-        lifecycle.run('store', self.follower.run)
-        lifecycle.run('links', self._clean_links)
-        lifecycle.run('cuts', self.cuts.run)
+        lifecycle.run('seeds', self._refresh_seeds)
+        await self.store_poller.poll()
+        lifecycle.run('store', self.store_poller.run)
+        lifecycle.run('links', self._close_unused_links)
+        lifecycle.run('cuts', self.partitions.run)
 
     async def stop(self) -> None:
         """Tell the other daemons that this one ends, and close the link."""
@@ -139,7 +143,7 @@
 
     def describe(self) -> dict[str, Any]:
         """Tell the state of all this for ``/status``."""
-        age = self.news.find_age()
+        age = self.freshness.find_age()
         return {
             'incarnation': self.members.own.incarnation,
             'leaving': self.members.own.leaving,
@@ -148,11 +152,11 @@
                 self.members.list_live(self._settings.data_centre)
             ),
             'key_changes': len(self._keys.records),
-            'key_changes_unstored': len(self.follower.list_unstored()),
+            'key_changes_unstored': len(self.store_poller.list_unstored()),
             'news_age_seconds': age.total_seconds() if age else None,
             'cut_since': {
                 name: since.isoformat()
-                for name, since in self.cuts.list_partitions().items()
+                for name, since in self.partitions.list_partitions().items()
             },
         }
 
@@ -173,20 +177,20 @@
         members.replace_seeds(peering.seeds)
         return members
 
-    def _tell_digest(self) -> Digest:
+    def _build_digest(self) -> Digest:
         return Digest(
             self._manifest.current.version,
             self._keys.hash_records(),
-            self.news.find_age(),
+            self.freshness.find_age(),
         )
 
     def _is_current(self) -> bool:
-        longest = self._settings.peering.refuse_keys_after_seconds
-        return self.news.is_current(
-            timedelta(seconds=longest) if longest else None
+        max_age = self._settings.peering.refuse_keys_after_seconds
+        return self.freshness.is_current(
+            timedelta(seconds=max_age) if max_age else None
         )
 
-    async def _follow_seeds(self) -> None:
+    async def _refresh_seeds(self) -> None:
         while True:
             answer = await self._platform.list_vms()
             if isinstance(answer, Ok):
@@ -198,10 +202,10 @@
                 )
                 for listener in self._vm_listeners:
                     listener(vms)
-            near = self.members.list_live(self._settings.data_centre)
-            await self._clock.sleep(SEEDS_WAIT * len(near))
+            local_members = self.members.list_live(self._settings.data_centre)
+            await self._clock.sleep(SEEDS_REFRESH_INTERVAL * len(local_members))
 
-    async def _clean_links(self) -> None:
+    async def _close_unused_links(self) -> None:
         while True:
-            await self._clock.sleep(LINK_CLEANING)
+            await self._clock.sleep(LINK_CLEANUP_INTERVAL)
             self.link.close_unused()
--- a/quetzalcourse/platform/callers.py
+++ b/quetzalcourse/platform/callers.py
@@ -21,9 +21,9 @@
 READY_PATH = '/quetzalcourse/ready'
 # The client's estimate of an item's output tokens; `X-Token-Counts` gives no
 # more than their maximum.
-LENGTH_HINT = 'x-length-hint'
+LENGTH_HINT_HEADER = 'x-length-hint'
 # An answer holds 1 MB of results at most; escaping may double a text.
-PAGE_BYTES = 1_000_000
+MAX_PAGE_BYTES = 1_000_000
 
 
 class ScorerMessage(msgspec.Struct):
@@ -83,7 +83,7 @@
         return None
 
 
-class PlatformCallers:
+class PlatformCallerDialect:
     """Reads requests of clients and writes what they alone understand."""
 
     def read_terms(self, head: RequestHead) -> CallerMetadata:
@@ -149,13 +149,13 @@
 
     def write_page(self, page: ResultPage) -> bytes:
         """Write results for the client, at least one and at most 1 MB."""
-        shown: list[ResultMessage] = []
+        messages: list[ResultMessage] = []
         size = 0
         for result in page.results:
             size += len(result.text) + len(result.id)
-            if shown and size > PAGE_BYTES / 2:
+            if messages and size > MAX_PAGE_BYTES / 2:
                 break
-            shown.append(
+            messages.append(
                 ResultMessage(
                     result.id,
                     result.state.value,
@@ -165,7 +165,7 @@
                 )
             )
         return msgspec.json.encode(
-            PageMessage(page.total, page.position + len(shown), shown)
+            PageMessage(page.total, page.position + len(messages), messages)
         )
 
 
@@ -177,6 +177,6 @@
 
 def _read_length_hint(headers: dict[str, str]) -> int:
     for name, text in headers.items():
-        if name.lower() == LENGTH_HINT and text.isdecimal():
+        if name.lower() == LENGTH_HINT_HEADER and text.isdecimal():
             return int(text)
     return 0
--- a/quetzalcourse/platform/deployment.py
+++ b/quetzalcourse/platform/deployment.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from quetzalcourse.platform import documents
-from quetzalcourse.platform.callers import READY_PATH, PlatformCallers
-from quetzalcourse.platform.duties import ServerControl, UsageCalls
+from quetzalcourse.platform.callers import READY_PATH, PlatformCallerDialect
+from quetzalcourse.platform.duties import ServerControl, UsageReportClient
 from quetzalcourse.platform.settings import translate_settings
 from quetzalcourse.platform.store import StoreClient
-from quetzalcourse.platform.upstreams import PlatformUpstreams
+from quetzalcourse.platform.upstreams import PlatformUpstreamDialect
 from quetzalcourse.transport.channel import Channel
 
 if TYPE_CHECKING:
@@ -68,32 +68,32 @@
         """Translate the settings."""
         self.settings = translate_settings(message)
         self.documents = PlatformDocuments()
-        self.callers = PlatformCallers()
-        self.upstreams = PlatformUpstreams()
+        self.callers = PlatformCallerDialect()
+        self.upstreams = PlatformUpstreamDialect()
         self.readiness_path = READY_PATH
         self._message = message
-        self._open: list[Channel | ServerControl] = []
+        self._connections: list[Channel | ServerControl] = []
 
     def open_store(self, clock: Clock, counters: Counters) -> PlatformStore:
         """Open connections to the store."""
         channel = Channel(self._message.platform.address)
-        self._open.append(channel)
+        self._connections.append(channel)
         client = StoreClient(channel, clock, counters)
         return PlatformStore(client, client, client)
 
-    def open_control(self) -> ServerControl:
+    def open_upstream_control(self) -> ServerControl:
         """Open connections for orders to servers."""
         control = ServerControl()
-        self._open.append(control)
+        self._connections.append(control)
         return control
 
-    def open_reports(self) -> UsageCalls:
+    def open_usage_reports(self) -> UsageReportClient:
         """Open connections for reports of usage."""
         channel = Channel(self._message.cloud.address)
-        self._open.append(channel)
-        return UsageCalls(channel, self.settings.vm)
+        self._connections.append(channel)
+        return UsageReportClient(channel, self.settings.vm)
 
     async def close(self) -> None:
         """Close every connection that was opened."""
-        for part in self._open:
-            await part.close()
+        for connection in self._connections:
+            await connection.close()
--- a/quetzalcourse/platform/documents.py
+++ b/quetzalcourse/platform/documents.py
@@ -29,7 +29,7 @@
 EVACUATION_PREFIX = 'op//evacuate/'
 SERVERS_TABLE = 'servers'
 
-KINDS = {
+ROUTE_KINDS = {
     'idempotent': RouteKind.idempotent,
     'non_idempotent': RouteKind.non_idempotent,
     'rollout': RouteKind.batch,
@@ -169,9 +169,9 @@
         message = msgspec.json.decode(content, type=ConfigMessage)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Err(str(error))
-    holders = None
+    accounts = None
     if message.tenants is not None:
-        holders = tuple(_read_tenant(tenant) for tenant in message.tenants)
+        accounts = tuple(_read_tenant(tenant) for tenant in message.tenants)
     return Ok(
         RoutingManifest(
             version=message.version,
@@ -181,7 +181,7 @@
                 for service in message.services
             },
             limits=_read_limits(message.limits),
-            accounts=holders,
+            accounts=accounts,
         )
     )
 
@@ -232,7 +232,7 @@
         name=message.name,
         host=message.hostname,
         prefix=message.path_prefix,
-        kind=KINDS[message.kind],
+        kind=ROUTE_KINDS[message.kind],
         timeout=timedelta(milliseconds=message.timeout_ms),
         target_latency=timedelta(milliseconds=message.target_latency_ms),
         priority=message.priority,
--- a/quetzalcourse/platform/duties.py
+++ b/quetzalcourse/platform/duties.py
@@ -24,11 +24,11 @@
 
 OK = 200
 # A server that takes longer may act later; the lease ends after that.
-ORDER_SECONDS = 0.6
-REPORT_SECONDS = 0.6
-DUTY_SECONDS = 0.6
+ORDER_TIMEOUT_SECONDS = 0.6
+REPORT_TIMEOUT_SECONDS = 0.6
+USAGE_TIMEOUT_SECONDS = 0.6
 CALL_HEADERS = {'Content-Type': 'application/json'}
-OUTCOMES: Mapping[int, OrderOutcome] = {
+OUTCOMES_BY_STATUS: Mapping[int, OrderOutcome] = {
     OK: OrderOutcome.holds,
     202: OrderOutcome.accepted,
     409: OrderOutcome.conflict,
@@ -89,26 +89,28 @@
             fence_token=order.token,
             expected=order.sequence,
         )
-        answer = await self._find(upstream).request(
+        answer = await self._get_channel(upstream).request(
             'POST',
             '/quetzalcourse/order',
             msgspec.json.encode(message),
-            headers=_expect(upstream) | CALL_HEADERS,
-            seconds=ORDER_SECONDS,
+            headers=_build_instance_headers(upstream) | CALL_HEADERS,
+            seconds=ORDER_TIMEOUT_SECONDS,
         )
         if isinstance(answer, Err):
             if answer.err_value.kind is FaultKind.not_applied:
                 return OrderOutcome.not_sent
             return OrderOutcome.unanswered
-        return OUTCOMES.get(answer.ok_value.status, OrderOutcome.refused)
+        return OUTCOMES_BY_STATUS.get(
+            answer.ok_value.status, OrderOutcome.refused
+        )
 
     async def report(self, upstream: Upstream) -> UpstreamReport | None:
         """Ask a server about itself."""
-        answer = await self._find(upstream).request(
+        answer = await self._get_channel(upstream).request(
             'GET',
             '/quetzalcourse/report',
-            headers=_expect(upstream),
-            seconds=REPORT_SECONDS,
+            headers=_build_instance_headers(upstream),
+            seconds=REPORT_TIMEOUT_SECONDS,
         )
         if isinstance(answer, Err) or answer.ok_value.status != OK:
             return None
@@ -127,14 +129,14 @@
         for channel in self._channels.values():
             await channel.close()
 
-    def _find(self, upstream: Upstream) -> Channel:
+    def _get_channel(self, upstream: Upstream) -> Channel:
         address = upstream.member.address
         if address not in self._channels:
             self._channels[address] = Channel(address)
         return self._channels[address]
 
 
-class UsageCalls:
+class UsageReportClient:
     """Reports usage to the platform.
 
     :param holder: name of this machine.
@@ -152,15 +154,15 @@
             'POST',
             '/usage',
             msgspec.json.encode(message),
-            headers=CALL_HEADERS | _sign(self._holder, token),
-            seconds=DUTY_SECONDS,
+            headers=CALL_HEADERS | _build_fence_headers(self._holder, token),
+            seconds=USAGE_TIMEOUT_SECONDS,
         )
         return answer.is_ok() and answer.unwrap().status == OK
 
 
-def _expect(upstream: Upstream) -> dict[str, str]:
+def _build_instance_headers(upstream: Upstream) -> dict[str, str]:
     return {'X-Expect-Instance': upstream.name}
 
 
-def _sign(holder: str, token: int) -> dict[str, str]:
+def _build_fence_headers(holder: str, token: int) -> dict[str, str]:
     return {'X-Duty-Holder': holder, 'X-Fence-Token': str(token)}
--- a/quetzalcourse/platform/settings.py
+++ b/quetzalcourse/platform/settings.py
@@ -12,10 +12,10 @@
 from result import Err, Ok, Result
 
 from quetzalcourse.settings.rollout import (
-    ColdStartTerms,
+    ColdStartTolerance,
     ListenAddresses,
     RolloutSettings,
-    ServiceTerms,
+    ServiceTimings,
 )
 
 FILE_VARIABLE = 'QUETZALCOURSE_NODE_FILE'
@@ -114,16 +114,16 @@
             peers=peers,
             metrics=f'{message.ip}:{message.metrics_port}',
         ),
-        terms=ServiceTerms(
-            stop=timedelta(seconds=bounds.grace_s),
-            leadership=timedelta(milliseconds=bounds.lease_ms),
+        timings=ServiceTimings(
+            stop_deadline=timedelta(seconds=bounds.grace_s),
+            min_lease_hold=timedelta(milliseconds=bounds.lease_ms),
             usage_window=timedelta(seconds=bounds.report_window_s),
-            usage_due=timedelta(seconds=bounds.usage_late_s),
-            batch_kept=timedelta(seconds=bounds.status_s),
-            settle=timedelta(milliseconds=bounds.settle_ms),
+            usage_report_delay=timedelta(seconds=bounds.usage_late_s),
+            batch_retention=timedelta(seconds=bounds.status_s),
+            propagation_delay=timedelta(milliseconds=bounds.settle_ms),
         ),
         regions=message.zones,
-        cold_start=ColdStartTerms(bounds.cold_overage, bounds.cold_slack),
+        cold_start=ColdStartTolerance(bounds.cold_overage, bounds.cold_slack),
         duties=frozenset(message.cloud.duties),
         peer_secret=derive_secret(message),
         cores=message.limits.cpu_share * message.limits.cores,
--- a/quetzalcourse/platform/store.py
+++ b/quetzalcourse/platform/store.py
@@ -30,11 +30,11 @@
 BUSY = 503
 # A slow store takes some 300 ms for a write; one that takes longer than
 # this has lost the answer.
-CALL_SECONDS = 1.5
+CALL_TIMEOUT_SECONDS = 1.5
 FOLLOW_SLACK_SECONDS = 0.8
 # An answer that was slow on its way makes the store's clock look late by as
 # much; the best of the last ten seconds is off by a few milliseconds.
-CLOCK_KEPT = timedelta(seconds=10)
+CLOCK_SAMPLE_MAX_AGE = timedelta(seconds=10)
 # Rows of one answer, the most that the store returns.
 PAGE_ROWS = 500
 
@@ -112,14 +112,14 @@
         self._channel = channel
         self._clock = clock
         self._counters = counters
-        self._ahead: timedelta | None = None
-        self._ahead_at = timedelta(0)
+        self._clock_offset: timedelta | None = None
+        self._clock_offset_at = timedelta(0)
 
     def estimate(self) -> timedelta | None:
         """Estimate the store's steady clock."""
-        if self._ahead is None:
+        if self._clock_offset is None:
             return None
-        return self._clock.elapsed() + self._ahead
+        return self._clock.elapsed() + self._clock_offset
 
     async def read(self, key: str) -> Result[Row | None, StoreFault]:
         """Read one row."""
@@ -232,7 +232,7 @@
         self,
         call: str,
         query: dict[str, str | int],
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> Result[AnswerMessage, StoreFault]:
         target = f'/quetzalcourse/{call}?{urlencode(query)}'
         answer = await self._call('GET', target, seconds=seconds)
@@ -243,7 +243,7 @@
         method: str,
         target: str,
         body: bytes = b'',
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> Result[tuple[int, AnswerMessage], StoreFault]:
         began = self._clock.elapsed()
         headers = {'Content-Type': 'application/json'} if body else None
@@ -253,18 +253,18 @@
         call = target.partition('?')[0].rpartition('/')[2]
         took = self._clock.elapsed() - began
         self._counters.observe('store_call', took.total_seconds(), call=call)
-        read = answer.and_then(lambda found: self._read(call, found))
+        read = answer.and_then(lambda found: self._decode_answer(call, found))
         outcome = read.err_value.kind if isinstance(read, Err) else 'ok'
         self._counters.add('store_calls', call=call, outcome=str(outcome))
         return read
 
-    def _read(
+    def _decode_answer(
         self,
         call: str,
         answer: ChannelAnswer,
     ) -> Result[tuple[int, AnswerMessage], StoreFault]:
         if answer.status not in (OK, CONFLICT):
-            return Err(self._find_fault(call, answer.status))
+            return Err(self._classify_status(call, answer.status))
         try:
             message = msgspec.json.decode(answer.content, type=AnswerMessage)
         except msgspec.DecodeError as error:
@@ -279,14 +279,14 @@
     def on_clock(self, store_now: timedelta) -> None:
         """Learn the store's time from an answer that has just arrived."""
         now = self._clock.elapsed()
-        ahead = store_now - now
-        known = self._ahead
-        outdated = now - self._ahead_at > CLOCK_KEPT
-        if known is None or ahead > known or outdated:
-            self._ahead = ahead
-            self._ahead_at = now
-
-    def _find_fault(self, call: str, status: int) -> StoreFault:
+        offset = store_now - now
+        previous = self._clock_offset
+        outdated = now - self._clock_offset_at > CLOCK_SAMPLE_MAX_AGE
+        if previous is None or offset > previous or outdated:
+            self._clock_offset = offset
+            self._clock_offset_at = now
+
+    def _classify_status(self, call: str, status: int) -> StoreFault:
         kind = FaultKind.unanswered
         if status < SERVER_ERROR or status == BUSY:
             kind = FaultKind.not_applied
--- a/quetzalcourse/platform/upstreams.py
+++ b/quetzalcourse/platform/upstreams.py
@@ -15,13 +15,13 @@
     from quetzalcourse.state.batches import BatchItem, ScoringCall
     from quetzalcourse.state.calls import AttemptMetadata, RequestHead
 
-OK_FIRST = 200
-OK_LAST = 299
-MISDIRECTED = 421
+MIN_OK = 200
+MAX_OK = 299
+MISDIRECTED_REQUEST = 421
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
 # What the system sets itself, or must not pass on.
-OWN_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     (
         'content-length',
         'expect',
@@ -34,7 +34,7 @@
 )
 
 
-class PlatformUpstreams:
+class PlatformUpstreamDialect:
     """Writes requests for servers and reads their answers."""
 
     def write_request(
@@ -43,9 +43,9 @@
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of a client's request for a server."""
-        dropped = HOP_BY_HOP | OWN_HEADERS | list_named(head.headers)
+        dropped = HOP_BY_HOP | RESERVED_HEADERS | list_named(head.headers)
         kept = [pair for pair in head.headers if pair[0] not in dropped]
-        return kept + _write_terms(terms)
+        return kept + _write_metadata(terms)
 
     def write_item(
         self,
@@ -54,12 +54,14 @@
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
         """Write the headers of an item's request for a server."""
-        own = OWN_HEADERS | HOP_BY_HOP | {'host', 'x-request-id'}
+        reserved = RESERVED_HEADERS | HOP_BY_HOP | {'host', 'x-request-id'}
         kept = [
-            pair for pair in item.headers.items() if pair[0].lower() not in own
+            pair
+            for pair in item.headers.items()
+            if pair[0].lower() not in reserved
         ]
         headers = [('Host', host), ('X-Request-Id', item.id), *kept]
-        return headers + _write_terms(terms)
+        return headers + _write_metadata(terms)
 
     def write_scoring(
         self,
@@ -68,7 +70,7 @@
     ) -> list[tuple[str, str]]:
         """Write the headers of a scoring call for a server."""
         headers = [('Host', call.host), ('X-Request-Id', call.id)]
-        return headers + _write_terms(terms)
+        return headers + _write_metadata(terms)
 
     def read_answer(
         self,
@@ -79,14 +81,14 @@
         """Read the head of a server's answer."""
         load = read_load(headers.get('X-Server-Load', ''))
         answered = headers.get('X-Request-Id', '')
-        refused = 'X-Not-Executed' in headers or status == MISDIRECTED
+        refused = 'X-Not-Executed' in headers or status == MISDIRECTED_REQUEST
         if refused and answered in ('', request_id):
             return ResponseMetadata(ResponseOutcome.not_run, load)
         if answered != request_id:
             return ResponseMetadata(ResponseOutcome.foreign)
         version = headers.get('X-Weight-Versions', '')
         number = int(version) if version.isdecimal() else 0
-        if OK_FIRST <= status <= OK_LAST:
+        if MIN_OK <= status <= MAX_OK:
             stamp = headers.get('X-Server-Stamp', '')
             return ResponseMetadata(ResponseOutcome.served, load, number, stamp)
         if status == UNPROCESSABLE:
@@ -128,7 +130,7 @@
     return LoadReport(running, waiting, slots)
 
 
-def _write_terms(terms: AttemptMetadata) -> list[tuple[str, str]]:
+def _write_metadata(terms: AttemptMetadata) -> list[tuple[str, str]]:
     left = max(terms.time_left // MILLISECOND, 1)
     headers = [
         ('X-Deadline-Ms', str(left)),
--- a/quetzalcourse/quarantine_parts.py
+++ b/quetzalcourse/quarantine_components.py
@@ -18,14 +18,14 @@
     from quetzalcourse.coordination.forwarding.pool import Pool
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.coordination.ports import MemberView, Peers
-    from quetzalcourse.deployment import StoreParts
+    from quetzalcourse.deployment import StoreClients
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
 
 
 @dataclass(frozen=True, slots=True)
-class QuarantineParts:
+class QuarantineComponents:
     """What a daemon knows of such requests, and how it tells the others."""
 
     quarantine: Quarantine
@@ -40,17 +40,17 @@
         lifecycle.run('quarantine rows', self.rows.run)
 
 
-def build_quarantine_parts(
+def build_quarantine_components(
     pool: Pool,
-    store: StoreParts,
+    store: StoreClients,
     members: MemberView,
     peers: Peers,
     clock: Clock,
     counters: Counters,
-) -> QuarantineParts:
+) -> QuarantineComponents:
     """Build the parts and connect them."""
     quarantine = Quarantine(QuarantineRecords(clock), counters)
-    pool.registration_listeners.append(partial(_on_run, quarantine))
+    pool.registration_listeners.append(partial(_on_registration, quarantine))
     follower = TableFollower(
         store.feed,
         quarantine_store.TABLE,
@@ -59,7 +59,7 @@
         single_part=True,
         wait=quarantine_store.FEED_POLL_TIMEOUT,
     )
-    return QuarantineParts(
+    return QuarantineComponents(
         quarantine,
         follower,
         quarantine_store.QuarantineStore(
@@ -70,5 +70,5 @@
     )
 
 
-def _on_run(quarantine: Quarantine, upstream: Upstream) -> None:
+def _on_registration(quarantine: Quarantine, upstream: Upstream) -> None:
     quarantine.on_restart(upstream.run_id, upstream.member.address)
--- a/quetzalcourse/upstreams.py
+++ b/quetzalcourse/request_components.py
@@ -32,31 +32,31 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import Manifest
 
-REPORT_SECONDS = 0.5
+REPORT_TIMEOUT_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamParts:
+class RequestComponents:
     """Everything between a request that is let in and its upstream."""
 
-    leaving: DrainTracker
-    health: OutlierDetector
+    drains: DrainTracker
+    outlier_detector: OutlierDetector
     router: Router
-    claims: IdempotencyStore
+    idempotency: IdempotencyStore
     services: ServiceDispatcher
     generation: GenerationRunner
-    observer: EnginePoller
+    engine_poller: EnginePoller
     reports: EngineReports
 
     def on_manifest(self, manifest: Manifest) -> None:
         """Hand a manifest that came into force to every part."""
         self.router.on_manifest(manifest)
-        self.health.on_manifest(manifest)
-        self.observer.on_manifest(manifest)
+        self.outlier_detector.on_manifest(manifest)
+        self.engine_poller.on_manifest(manifest)
         self.services.on_manifest(manifest)
 
 
-def build_upstreams(
+def build_request_components(
     data_centre: str,
     incarnation: str,
     session: aiohttp.ClientSession,
@@ -64,7 +64,7 @@
     admission: Admission,
     clock: Clock,
     counters: Counters,
-) -> UpstreamParts:
+) -> RequestComponents:
     """Build the parts and connect them.
 
     :param data_centre: where this daemon runs.
@@ -74,37 +74,37 @@
     """
     reports = EngineReports()
     prefixes = PrefixCacheHints()
-    leaving = DrainTracker(clock)
-    router = Router(data_centre, leaving, reports, prefixes)
-    health = OutlierDetector(clock, counters, Random(incarnation))
+    drains = DrainTracker(clock)
+    router = Router(data_centre, drains, reports, prefixes)
+    outlier_detector = OutlierDetector(clock, counters, Random(incarnation))
     budget = RetryBudget()
     generation = GenerationRunner(
         admission,
         router,
-        health,
+        outlier_detector,
         budget,
         EngineClient(session, clock),
         clock,
         counters,
     )
-    observer = EnginePoller(
+    engine_poller = EnginePoller(
         data_centre,
-        EngineControlClient(session, incarnation, REPORT_SECONDS),
-        leaving,
+        EngineControlClient(session, incarnation, REPORT_TIMEOUT_SECONDS),
+        drains,
         reports,
         prefixes,
         clock,
         counters,
         admission.running,
     )
-    observer.on_drain(generation.running_attempts.on_departure)
-    return UpstreamParts(
-        leaving,
-        health,
+    engine_poller.on_drain(generation.running_attempts.on_departure)
+    return RequestComponents(
+        drains,
+        outlier_detector,
         router,
         IdempotencyStore(table),
-        ServiceDispatcher(admission, router, health, budget, clock),
+        ServiceDispatcher(admission, router, outlier_detector, budget, clock),
         generation,
-        observer,
+        engine_poller,
         reports,
     )
--- a/quetzalcourse/rollout_application.py
+++ b/quetzalcourse/rollout_application.py
@@ -7,17 +7,17 @@
 
 from result import Err
 
-from quetzalcourse.batch_parts import BatchCalls, build_batch_parts
+from quetzalcourse.batch_components import BatchCalls, build_batch_components
 from quetzalcourse.coordination.duties.usage_windows import WindowCounts
 from quetzalcourse.coordination.feeds.wall_clock import WallClockEstimate
 from quetzalcourse.coordination.forwarding.forwarding import Forwarder
 from quetzalcourse.coordination.forwarding.route_table import RouteTable
-from quetzalcourse.duty_parts import build_duty_parts
-from quetzalcourse.feed_parts import build_feed_parts
-from quetzalcourse.incarnation import name_incarnation
+from quetzalcourse.duty_components import build_duty_components
+from quetzalcourse.feed_components import build_feed_components
+from quetzalcourse.incarnation import generate_incarnation
 from quetzalcourse.lifecycle import Lifecycle
 from quetzalcourse.log import get_log
-from quetzalcourse.quarantine_parts import build_quarantine_parts
+from quetzalcourse.quarantine_components import build_quarantine_components
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.members import Member
 from quetzalcourse.transport.activity import Activity
@@ -37,24 +37,24 @@
 from quetzalcourse.transport.sockets import open_listener
 from quetzalcourse.transport.upstream_calls import UpstreamCalls
 from quetzalcourse.transport.web import WebServer
-from quetzalcourse.upstream_parts import (
-    build_upstream_parts,
+from quetzalcourse.upstream_components import (
+    build_upstream_components,
     limit_cold_starts,
 )
 
 if TYPE_CHECKING:
     from quetzalcourse.deployment import Deployment
-    from quetzalcourse.log_output import LineLimit, LineOutput
+    from quetzalcourse.log_output import LogRateLimiter, NonBlockingOutput
     from quetzalcourse.state.routing import RoutingManifest
     from quetzalcourse.state.rows import Row
 
 OK = 200
 UNAVAILABLE = 503
 # The balancer takes a daemon out after two questions, one each second.
-BALANCER_TIME = timedelta(seconds=3)
+BALANCER_REMOVAL_TIME = timedelta(seconds=3)
 # Left for the last answers before the platform kills the process.
 STOP_MARGIN = timedelta(seconds=1.5)
-POLL = timedelta(milliseconds=50)
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=50)
 log = get_log('application')
 
 
@@ -70,7 +70,7 @@
         self.clock = SystemClock()
         self.counters = Counters()
         self.activity = Activity()
-        self.incarnation = name_incarnation(self.settings.vm)
+        self.incarnation = generate_incarnation(self.settings.vm)
         self.lifecycle = Lifecycle(self.clock, self.counters)
         self.peers = PeerLink(
             self.settings.listen.peers,
@@ -79,15 +79,17 @@
             self.counters,
         )
         self._deployment = deployment
-        self._log_output: LineOutput | None = None
-        self._log_limit: LineLimit | None = None
+        self._log_output: NonBlockingOutput | None = None
+        self._log_limit: LogRateLimiter | None = None
         listen = self.settings.listen
         self._listeners = {
             address: open_listener(address)
             for address in (listen.callers, listen.readiness, listen.metrics)
         }
 
-    def watch_log(self, output: LineOutput, limit: LineLimit) -> None:
+    def attach_log_output(
+        self, output: NonBlockingOutput, limit: LogRateLimiter
+    ) -> None:
         """Show in the metrics how many log lines were left out."""
         self._log_output = output
         self._log_limit = limit
@@ -97,9 +99,9 @@
         self.lifecycle.on_stop(self._deployment.close)
         self._build_store()
         self._build_upstreams()
-        self._build_parts()
+        self._build_components()
         await self._build_servers()
-        self._start_parts()
+        self._start_components()
         log.info(
             'Daemon started.',
             vm=self.settings.vm,
@@ -114,16 +116,16 @@
         began = self.clock.elapsed()
         log.info('Drain began.', serving=self.activity.serving)
         await self.presence.leave()
-        await self.batches.keeper.hand_over()
+        await self.batches.takeover.hand_over()
         await self.duties.hand_over()
-        ends = began + self.settings.terms.stop - STOP_MARGIN
-        while self.clock.elapsed() < ends:
-            waited = self.clock.elapsed() - began
-            if waited > BALANCER_TIME:
+        deadline = began + self.settings.timings.stop_deadline - STOP_MARGIN
+        while self.clock.elapsed() < deadline:
+            elapsed_drain = self.clock.elapsed() - began
+            if elapsed_drain > BALANCER_REMOVAL_TIME:
                 busy = self._servers[0].close_idle()
                 if not busy and not self.activity.serving:
                     break
-            await self.clock.sleep(POLL)
+            await self.clock.sleep(DRAIN_POLL_INTERVAL)
         log.info('Drain ended.', cut=self.activity.serving)
 
     async def on_stop(self) -> None:
@@ -139,7 +141,9 @@
         self.routes = RouteTable()
         self.wall_clock = WallClockEstimate(self.clock, self.store.clock)
         self.counts = WindowCounts(
-            self.wall_clock, self.settings.terms.usage_window, self._on_count
+            self.wall_clock,
+            self.settings.timings.usage_window,
+            self._on_usage_counted,
         )
         own = Member(
             self.settings.vm,
@@ -148,7 +152,7 @@
             self.settings.listen.peers,
             cores=self.settings.cores,
         )
-        self.feeds = build_feed_parts(
+        self.feeds = build_feed_components(
             own,
             self._deployment.documents,
             self.store,
@@ -163,7 +167,7 @@
         self.peers.start(own)
 
     def _build_upstreams(self) -> None:
-        self.upstreams = build_upstream_parts(
+        self.upstreams = build_upstream_components(
             self.settings,
             self.feeds,
             self._deployment.documents,
@@ -173,7 +177,7 @@
         )
         self.pool = self.upstreams.pool
         self.calls = UpstreamCalls()
-        self.quarantine = build_quarantine_parts(
+        self.quarantine = build_quarantine_components(
             self.pool,
             self.store,
             self.presence,
@@ -183,7 +187,7 @@
         )
         self.lifecycle.on_stop(self.calls.close)
 
-    def _build_parts(self) -> None:
+    def _build_components(self) -> None:
         items = ItemCalls(
             self.calls,
             self._deployment.upstreams,
@@ -198,7 +202,7 @@
             self.pool,
             self.quarantine.ends,
         )
-        self.batches = build_batch_parts(
+        self.batches = build_batch_components(
             self.feeds,
             self.store.clock,
             BatchCalls(items, scorer, self.peers),
@@ -216,8 +220,10 @@
             self.routes,
             self.clock,
         )
-        self.batches.keeper.result_retention = self.settings.terms.batch_kept
-        self.duties = build_duty_parts(
+        self.batches.takeover.result_retention = (
+            self.settings.timings.batch_retention
+        )
+        self.duties = build_duty_components(
             self._deployment,
             self.store,
             self.incarnation,
@@ -228,7 +234,7 @@
             self.counters,
         )
 
-        self.duties.orders.on_loads(self.batches.load_updates)
+        self.duties.load_controller.on_loads(self.batches.load_updates)
 
     async def _build_servers(self) -> None:
         forwards = Forwards(
@@ -244,7 +250,7 @@
             self._deployment.callers,
             self.upstreams.residency,
             forwards,
-            BatchRoutes(self.batches.batches, self._deployment.callers),
+            BatchRoutes(self.batches.service, self._deployment.callers),
             self.activity,
             self.clock,
             self.counters,
@@ -253,8 +259,10 @@
         self._gateway = build_gateway('callers', front.serve)
         apps = {
             listen.callers: self._gateway,
-            listen.readiness: build_probe_app('readiness', self._tell_ready),
-            listen.metrics: build_probe_app('metrics', self._tell_metrics),
+            listen.readiness: build_probe_app(
+                'readiness', self._report_readiness
+            ),
+            listen.metrics: build_probe_app('metrics', self._report_metrics),
         }
         self._servers = [
             WebServer(app, self._listeners[address])
@@ -264,7 +272,7 @@
             self.lifecycle.on_stop(server.stop)
             await server.start()
 
-    def _start_parts(self) -> None:
+    def _start_components(self) -> None:
         self.feeds.start(self.lifecycle)
         self.lifecycle.run('registrations', self.upstreams.registrations.run)
         self.quarantine.start(self.lifecycle)
@@ -301,7 +309,7 @@
         if isinstance(answer, Err):
             log.error('Named version is malformed.', reason=answer.err_value)
             return
-        self.duties.orders.on_named(*answer.ok_value)
+        self.duties.load_controller.on_named(*answer.ok_value)
 
     def _on_evacuation_row(self, row: Row) -> None:
         prefix = self._deployment.documents.evacuation_prefix
@@ -311,24 +319,24 @@
         else:
             self.upstreams.evacuations.on_request(data_centre)
 
-    def _on_count(self) -> None:
+    def _on_usage_counted(self) -> None:
         self.presence.announce()
 
-    def _tell_ready(self, path: str) -> tuple[int, bytes]:
+    def _report_readiness(self, path: str) -> tuple[int, bytes]:
         ready = (
             self.routes.manifest is not None
             and self.feeds.upstreams.loaded
             and not self.activity.draining
-            and self.feeds.reach.is_ready()
+            and self.feeds.store_readiness.is_ready()
         )
         known = path == self._deployment.readiness_path
         return (OK, b'ready') if ready and known else (UNAVAILABLE, b'')
 
-    def _tell_metrics(self, path: str) -> tuple[int, bytes]:
+    def _report_metrics(self, path: str) -> tuple[int, bytes]:
         self._set_gauges()
         if self._log_output is not None and self._log_limit is not None:
             self.counters.set('log_lines_dropped', self._log_output.dropped)
-            self.counters.set('log_lines_left_out', self._log_limit.left_out)
+            self.counters.set('log_lines_left_out', self._log_limit.suppressed)
         return OK, render_metrics(self.counters)
 
     def _set_gauges(self) -> None:
--- a/quetzalcourse/settings/manifest.py
+++ b/quetzalcourse/settings/manifest.py
@@ -216,8 +216,8 @@
         for name in upstream.models
     }
     references = [
-        *_refer_to_accounts(model),
-        *_refer_to_upstreams(model),
+        *_list_account_references(model),
+        *_list_upstream_references(model),
     ]
     references.extend(
         (f'trainers.{name}.model', trainer.model, models)
@@ -230,7 +230,7 @@
     ]
 
 
-def _refer_to_accounts(model: ManifestModel) -> list[Reference]:
+def _list_account_references(model: ManifestModel) -> list[Reference]:
     accounts = set(model.client_accounts)
     sections: dict[str, dict[str, Any]] = {
         'keys': model.keys,
@@ -243,7 +243,7 @@
     ]
 
 
-def _refer_to_upstreams(model: ManifestModel) -> list[Reference]:
+def _list_upstream_references(model: ManifestModel) -> list[Reference]:
     upstreams = set(model.upstreams)
     references = [
         (f'services.{name}.upstreams', upstream, upstreams)
--- a/quetzalcourse/settings/process.py
+++ b/quetzalcourse/settings/process.py
@@ -23,13 +23,13 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-LARGEST_PORT = 65535
+MAX_PORT = 65535
 
 
 def check_address(text: str) -> str:
     """Check that an address is an IP number and a port."""
     host, separator, port = text.rpartition(':')
-    if not separator or not port.isdigit() or int(port) > LARGEST_PORT:
+    if not separator or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError('must be an IP number and a port, as 127.0.0.1:80')
     ipaddress.ip_address(host)
     return text
@@ -151,10 +151,10 @@
     def check_parts(self) -> LeaseSettings:
         """Refuse a margin that clocks may outrun, and a term too short."""
         term = timedelta(seconds=self.term_seconds)
-        least = compute_min_margin(term, self.drift_bound).total_seconds()
-        if self.margin_seconds < least:
+        min_margin = compute_min_margin(term, self.drift_bound).total_seconds()
+        if self.margin_seconds < min_margin:
             raise ValueError(
-                f'margin_seconds must be at least {least:g}, which clocks '
+                f'margin_seconds must be at least {min_margin:g}, which clocks '
                 'drift apart in a term'
             )
         if self.order_timeout_seconds * 2 > self.term_seconds:
--- a/quetzalcourse/settings/reference.py
+++ b/quetzalcourse/settings/reference.py
@@ -25,8 +25,8 @@
     'Written by `make reference` from the models that check the file. '
     'An unknown key is a fault.'
 )
-SIGNS = {'gt': '>', 'ge': '≥', 'lt': '<', 'le': '≤'}
-HEADER = '| key | type | default | bounds |\n| --- | --- | --- | --- |'
+BOUND_SYMBOLS = {'gt': '>', 'ge': '≥', 'lt': '<', 'le': '≤'}
+TABLE_HEADER = '| key | type | default | bounds |\n| --- | --- | --- | --- |'
 
 
 def render_page(model: type[BaseModel], title: str) -> str:
@@ -53,10 +53,10 @@
     }
     if prefix:
         yield f'## `{prefix}`'
-        yield first_line(model)
+        yield read_first_line(model)
     if plain:
         rows = [render_row(name, field) for name, field in plain.items()]
-        yield '\n'.join([HEADER, *rows])
+        yield '\n'.join([TABLE_HEADER, *rows])
     for name, field in fields.items():
         inner = find_model(field.annotation)
         if inner is not None:
@@ -64,7 +64,7 @@
             yield from render_sections(inner, key)
 
 
-def first_line(model: type[BaseModel]) -> str:
+def read_first_line(model: type[BaseModel]) -> str:
     """Take the first line of a model's doc comment."""
     return (inspect.getdoc(model) or '').partition('\n')[0]
 
@@ -82,7 +82,7 @@
 
 def render_bound(bound: Any) -> str:
     """Write a bound in the signs that operators know."""
-    for name, sign in SIGNS.items():
+    for name, sign in BOUND_SYMBOLS.items():
         if hasattr(bound, name):
             return f'{sign} {getattr(bound, name)}'
     return clean_cell(str(bound))
--- a/quetzalcourse/settings/rollout.py
+++ b/quetzalcourse/settings/rollout.py
@@ -27,28 +27,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceTerms:
+class ServiceTimings:
     """Times that operators and platform expect of the daemons.
 
-    :param stop: time from the signal to stop until the process is killed.
-    :param leadership: time within which two holders of a duty must not
-        take turns.
+    :param stop_deadline: time from the stop signal until the platform kills
+        the process.
+    :param min_lease_hold: time within which the lease of a duty must not
+        change holders twice.
     :param usage_window: length of a usage window.
-    :param usage_due: age of an ended window at which its report is due.
-    :param batch_kept: age of a batch until which its results are read.
-    :param settle: time after which what one daemon told is known to all.
+    :param usage_report_delay: age of an ended window at which its report is
+        due.
+    :param batch_retention: age of a batch until which its results are read.
+    :param propagation_delay: time after which every daemon knows what one
+        of them was told.
     """
 
-    stop: timedelta
-    leadership: timedelta
+    stop_deadline: timedelta
+    min_lease_hold: timedelta
     usage_window: timedelta
-    usage_due: timedelta
-    batch_kept: timedelta
-    settle: timedelta
+    usage_report_delay: timedelta
+    batch_retention: timedelta
+    propagation_delay: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class ColdStartTerms:
+class ColdStartTolerance:
     """How far the rate of a cold upstream may be exceeded.
 
     :param overage: factor on the rate.
@@ -74,9 +77,9 @@
     vm: str
     data_centre: str
     listen: ListenAddresses
-    terms: ServiceTerms
+    timings: ServiceTimings
     duties: frozenset[str]
     peer_secret: bytes
     cores: float = 1
     regions: Mapping[str, str] = field(default_factory=dict)
-    cold_start: ColdStartTerms = ColdStartTerms()
+    cold_start: ColdStartTolerance = ColdStartTolerance()
--- a/quetzalcourse/slot_parts.py
+++ b/quetzalcourse/slot_components.py
@@ -23,10 +23,10 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.manifest import Manifest
 
-OBSERVE_SECONDS = 1.0
+REPORT_TIMEOUT_SECONDS = 1.0
 
 
-class SlotParts:
+class SlotComponents:
     """Admission with its policy, their messages and the watch on engines.
 
     :param members: daemons that are live.
@@ -45,33 +45,33 @@
         """Build the parts."""
         self._members = members
         self._link = PeerSlotLink(peers, counters)
-        self._grants = DistributedSlotPolicy(members, self._link, clock)
-        self.admission = Admission(clock, self._grants, counters)
+        self._policy = DistributedSlotPolicy(members, self._link, clock)
+        self.admission = Admission(clock, self._policy, counters)
         control = EngineControlClient(
-            session, members.own.incarnation, OBSERVE_SECONDS
+            session, members.own.incarnation, REPORT_TIMEOUT_SECONDS
         )
-        self._watch = EngineLoadMonitor(
-            control, self._grants.owned, clock, counters
+        self._load_monitor = EngineLoadMonitor(
+            control, self._policy.owned, clock, counters
         )
         self._task: asyncio.Task[None] | None = None
         members.on_change(self._on_members)
 
     def on_start(self) -> None:
         """Begin to renew allowances and to watch the engines."""
-        self._grants.on_start()
+        self._policy.on_start()
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._watch.run())
+        self._task = loop.create_task(self._load_monitor.run())
 
     def on_manifest(self, manifest: Manifest) -> None:
         """Take the upstreams and accounts that came into force."""
         self._link.on_manifest(manifest)
-        self._watch.on_manifest(manifest)
+        self._load_monitor.on_manifest(manifest)
         self.admission.on_manifest(manifest)
 
     async def on_stop(self) -> None:
         """End every task."""
         self.admission.on_stop()
-        await self._grants.on_stop()
+        await self._policy.on_stop()
         if self._task is not None:
             self._task.cancel()
 
--- a/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
+++ b/quetzalcourse/tests/coordination/batches/owner_watch_tests.py
@@ -22,9 +22,9 @@
 from quetzalcourse.coordination.feeds.follower import TableFollower
 from quetzalcourse.coordination.forwarding.residency import Residency
 from quetzalcourse.coordination.forwarding.route_table import RouteTable
-from quetzalcourse.feed_parts import (
+from quetzalcourse.feed_components import (
     HEARTBEAT_READ_PAUSE,
-    HEARTBEAT_READ_PAUSE_EACH,
+    HEARTBEAT_READ_PAUSE_PER_DAEMON,
 )
 from quetzalcourse.state.batches import BatchHead, Ownership
 from quetzalcourse.state.counters import Counters
@@ -73,7 +73,8 @@
             clock,
             Counters(),
             pause=max(
-                HEARTBEAT_READ_PAUSE, HEARTBEAT_READ_PAUSE_EACH * world.count
+                HEARTBEAT_READ_PAUSE,
+                HEARTBEAT_READ_PAUSE_PER_DAEMON * world.count,
             ),
         )
         batches = TableFollower(feed, 'batches', clock, Counters())
--- a/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
+++ b/quetzalcourse/tests/coordination/forwarding/cold_start_tests.py
@@ -18,7 +18,7 @@
     compute_sender_budget,
 )
 from quetzalcourse.coordination.forwarding.pool import Pool
-from quetzalcourse.settings.rollout import ColdStartTerms
+from quetzalcourse.settings.rollout import ColdStartTolerance
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.members import Member
 from quetzalcourse.state.pool import PoolMember
@@ -37,7 +37,7 @@
 
 SLOTS = 8
 UPSTREAMS = 6
-TERMS = ColdStartTerms(overage=1.5, slack=5)
+TERMS = ColdStartTolerance(overage=1.5, slack=5)
 COLD = ColdStart(timedelta(seconds=3), 9.5)
 LIMIT = int(COLD.requests_per_second * TERMS.overage) + TERMS.slack
 WINDOW = timedelta(seconds=1)
@@ -282,5 +282,5 @@
     budget: int,
 ) -> None:
     """Guards against a limit that holds only if all membership views agree."""
-    terms = ColdStartTerms(overage, slack)
+    terms = ColdStartTolerance(overage, slack)
     assert compute_sender_budget(ColdStart(WINDOW, rate), terms) == budget
--- a/quetzalcourse/tests/coordination/routing/routing_tests.py
+++ b/quetzalcourse/tests/coordination/routing/routing_tests.py
@@ -38,7 +38,7 @@
 )
 from quetzalcourse.state.members import Vm
 from quetzalcourse.tests.clocks import FakeClock
-from quetzalcourse.upstreams import REPORT_SECONDS
+from quetzalcourse.request_components import REPORT_TIMEOUT_SECONDS
 
 SECOND = timedelta(seconds=1)
 NAMES = ('a', 'b', 'c', 'd')
@@ -109,7 +109,7 @@
     ) -> Result[EngineReport, OrderProblem]:
         """Return the engine's report, or fail as the test set."""
         if upstream.name == self.slow:
-            await self.clock.sleep(timedelta(seconds=REPORT_SECONDS))
+            await self.clock.sleep(timedelta(seconds=REPORT_TIMEOUT_SECONDS))
             return Err(OrderProblem.unanswered)
         report = self.answers.get(upstream.name)
         return Ok(report) if report else Err(self.problem)
--- a/quetzalcourse/tests/library_log_tests.py
+++ b/quetzalcourse/tests/library_log_tests.py
@@ -10,7 +10,7 @@
 import pytest
 import structlog
 
-from quetzalcourse.library_log import MAX_MESSAGE, LibraryHandler
+from quetzalcourse.library_log import MAX_MESSAGE_LENGTH, LibraryLogHandler
 from quetzalcourse.log import configure_log
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 def library() -> Iterator[logging.Logger]:
     """Give a library's log whose reports are collected."""
     logger = logging.getLogger('some.library')
-    handler = LibraryHandler()
+    handler = LibraryLogHandler()
     logger.addHandler(handler)
     logger.propagate = False
     yield logger
@@ -46,7 +46,7 @@
     assert line['event'] == 'Library reports.'
     assert line['error'] == 'ConnectionResetError'
     assert line['place'].startswith('library_log_tests.py:')
-    assert len(line['report']) == MAX_MESSAGE
+    assert len(line['report']) == MAX_MESSAGE_LENGTH
     assert line['vm'] == 'vm-0'
 
 
--- a/quetzalcourse/tests/log_output_tests.py
+++ b/quetzalcourse/tests/log_output_tests.py
@@ -9,7 +9,7 @@
 import pytest
 import structlog
 
-from quetzalcourse.log_output import LineLimit, LineOutput
+from quetzalcourse.log_output import LogRateLimiter, NonBlockingOutput
 
 LINE = 'x' * 999 + '\n'
 
@@ -19,7 +19,7 @@
     # one line that says why would be hard to find, and writing them would
     # take the time of the requests.
     now = 0.0
-    limit = LineLimit(10, lambda: now)
+    limit = LogRateLimiter(10, lambda: now)
     passed = 0
     for _ in range(1000):
         try:
@@ -32,7 +32,7 @@
     now = 1.0
     line = limit(None, 'info', {'event': 'Request refused.'})
     assert line['left_out'] == 990
-    assert limit.left_out == 990
+    assert limit.suppressed == 990
 
 
 @pytest.mark.asyncio
@@ -40,7 +40,7 @@
     # Whoever collects the logs stops reading. The daemon goes on at once;
     # once the reader is back, whole lines go on and the rest was counted.
     reader, writer = os.pipe()
-    output = LineOutput(writer, waiting_bytes=20_000)
+    output = NonBlockingOutput(writer, buffer_bytes=20_000)
     began = time.monotonic()
     for _ in range(200):
         output.write(LINE)
--- a/quetzalcourse/tests/platform/store_tests.py
+++ b/quetzalcourse/tests/platform/store_tests.py
@@ -12,8 +12,8 @@
 from result import Err, Ok
 
 from quetzalcourse.platform.store import (
-    CALL_SECONDS,
-    CLOCK_KEPT,
+    CALL_TIMEOUT_SECONDS,
+    CLOCK_SAMPLE_MAX_AGE,
     StoreClient,
 )
 from quetzalcourse.standins.rollout.server import StandinServer
@@ -127,7 +127,7 @@
     # was refused may be told as not applied; of the others nothing is known,
     # and calling them so would break the promise of a refused batch.
     world.door.faults.mode = mode
-    async with asyncio.timeout(CALL_SECONDS * 2 + 1):
+    async with asyncio.timeout(CALL_TIMEOUT_SECONDS * 2 + 1):
         read = await world.client.read(KEY)
         write = await world.client.transact(CREATE)
     assert isinstance(read, Err)
@@ -212,7 +212,7 @@
     clock.move(timedelta(seconds=2))
     client.on_clock(clock.elapsed() + store_ahead - timedelta(seconds=1.5))
     assert client.estimate() == clock.elapsed() + store_ahead
-    clock.move(CLOCK_KEPT * 2)
+    clock.move(CLOCK_SAMPLE_MAX_AGE * 2)
     slower = store_ahead - timedelta(milliseconds=3)
     client.on_clock(clock.elapsed() + slower)
     assert client.estimate() == clock.elapsed() + slower
--- a/quetzalcourse/tests/platform/submissions_tests.py
+++ b/quetzalcourse/tests/platform/submissions_tests.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quetzalcourse.platform.callers import PlatformCallers
+from quetzalcourse.platform.callers import PlatformCallerDialect
 from quetzalcourse.state.batches import (
     ItemResult,
     ResultPage,
@@ -17,7 +17,7 @@
     Submission,
 )
 
-CALLERS = PlatformCallers()
+CALLERS = PlatformCallerDialect()
 SCORER = {
     'id': 'c-1',
     'hostname': 'verse.example',
--- a/quetzalcourse/tests/platform/upstreams_tests.py
+++ b/quetzalcourse/tests/platform/upstreams_tests.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from quetzalcourse.platform.callers import PlatformCallers
+from quetzalcourse.platform.callers import PlatformCallerDialect
 from quetzalcourse.platform.store import pack_transaction, split_key
-from quetzalcourse.platform.upstreams import PlatformUpstreams, read_load
+from quetzalcourse.platform.upstreams import PlatformUpstreamDialect, read_load
 from quetzalcourse.state.batches import (
     BatchItem,
     ItemResult,
@@ -26,8 +26,8 @@
 from quetzalcourse.state.rows import Condition, Transaction, Write
 
 TERMS = AttemptMetadata('i-1', 'desk', timedelta(milliseconds=1234.5))
-UPSTREAMS = PlatformUpstreams()
-CALLERS = PlatformCallers()
+UPSTREAMS = PlatformUpstreamDialect()
+CALLERS = PlatformCallerDialect()
 
 
 def build_head(target: str = '/a/', **headers: str) -> RequestHead:
--- a/quetzalcourse/tests/rollout/quarantine_tests.py
+++ b/quetzalcourse/tests/rollout/quarantine_tests.py
@@ -186,13 +186,13 @@
     )
     options = argparse.Namespace(platform_settings=path, json=True)
     capsys.readouterr()
-    assert await quarantine.call(quarantine.list_requests, options) == 0
+    assert await quarantine.run_action(quarantine.list_requests, options) == 0
     (listed,) = read_document(capsys)['quarantined']
     assert set(listed['upstreams']) == {'s-0', 's-1'}
     options.fingerprint = listed['fingerprint']
-    assert await quarantine.call(quarantine.lift_request, options) == 0
+    assert await quarantine.run_action(quarantine.lift_request, options) == 0
     await asyncio.sleep(NOTICED_SECONDS)
-    assert await quarantine.call(quarantine.lift_request, options) == 1
+    assert await quarantine.run_action(quarantine.lift_request, options) == 1
     for number in range(2):
         reply = await ask(pair, LOOKUP, number)
         assert reply is not None
--- a/quetzalcourse/tests/start_cost_tests.py
+++ b/quetzalcourse/tests/start_cost_tests.py
@@ -21,7 +21,7 @@
 PROGRAM = """
 import json, ssl, sys
 from quetzalcourse import daemon
-daemon.skip_certificates()
+daemon.disable_certificate_loading()
 import quetzalcourse.platform.deployment, quetzalcourse.rollout_application
 print(json.dumps({
     'files': {
--- a/quetzalcourse/tests/transport/engine_failure_tests.py
+++ b/quetzalcourse/tests/transport/engine_failure_tests.py
@@ -57,8 +57,8 @@
     deployment.engines[0].faults.strange_report = True
     deployment.engines[1].faults.leaving = True
     upstreams = deployment.daemon.upstreams
-    await upstreams.observer.poll_all(include_remote=True)
-    assert upstreams.leaving.list_draining() == ['engine-1']
+    await upstreams.engine_poller.poll_all(include_remote=True)
+    assert upstreams.drains.list_draining() == ['engine-1']
     await deployment.on_stop()
 
 
--- a/quetzalcourse/tests/transport/service_call_tests.py
+++ b/quetzalcourse/tests/transport/service_call_tests.py
@@ -136,7 +136,7 @@
     service.faults.slow_seconds = 0.3
     running = asyncio.create_task(call(deployment.url))
     await wait_running(deployment, 1)
-    leaving = deployment.daemon.upstreams.leaving
+    leaving = deployment.daemon.upstreams.drains
     leaving.on_vms([Vm(f'{SERVICE}-0', DATA_CENTRE, '', leaving=True)])
     leaving.check()
     _, error = await call(deployment.url)
--- a/quetzalcourse/tests/usage_process_tests.py
+++ b/quetzalcourse/tests/usage_process_tests.py
@@ -27,7 +27,7 @@
     from pathlib import Path
 
 HEADERS = {'Authorization': f'Bearer {READER_KEY}'}
-PATIENCE = 40.0
+WAIT_TIMEOUT_SECONDS = 40.0
 
 
 def build_document(platform: str, vm: str) -> dict[str, Any]:
@@ -53,7 +53,7 @@
 
 async def wait_until(holds: Callable[[], bool]) -> None:
     """Wait for something that the daemons do."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
         while not holds():
             await asyncio.sleep(0.05)
 
@@ -81,12 +81,12 @@
         await wait_until(lambda: len(reports) > 1)
         await second.on_start()
         first.send_signal(signal.SIGSTOP)
-        held_up = len(reports)
+        paused_at = len(reports)
         await wait_until(lambda: len({one.token for one in reports}) > 1)
         first.send_signal(signal.SIGCONT)
         resumed = len(reports)
         await wait_until(lambda: len(reports) > resumed + 2)
-        senders = {one.sender for one in reports[held_up + 1 :]}
+        senders = {one.sender for one in reports[paused_at + 1 :]}
         assert len(senders) == 1
         second.send_signal(signal.SIGKILL)
         await wait_until(lambda: reports[-1].sender == reports[0].sender)
@@ -111,8 +111,8 @@
     """Put a manifest in force before any daemon starts."""
     async with aiohttp.ClientSession() as session:
         client = PlatformClient(session, platform.address, 2)
-        keeper = ManifestStore(client, client)
-        (await keeper.accept(build_manifest([engine], []), 0)).unwrap()
+        store = ManifestStore(client, client)
+        (await store.accept(build_manifest([engine], []), 0)).unwrap()
 
 
 async def ask(daemon: DaemonProcess) -> None:
--- a/quetzalcourse/upstream_parts.py
+++ b/quetzalcourse/upstream_components.py
@@ -16,14 +16,14 @@
     from quetzalcourse.coordination.forwarding.cold_start import Coordinators
     from quetzalcourse.coordination.forwarding.route_table import RouteTable
     from quetzalcourse.deployment import Documents
-    from quetzalcourse.feed_parts import FeedParts
+    from quetzalcourse.feed_components import FeedComponents
     from quetzalcourse.settings.rollout import RolloutSettings
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamParts:
+class UpstreamComponents:
     """The upstreams, their entries and the operators' evacuations."""
 
     pool: Pool
@@ -32,19 +32,19 @@
     residency: Residency
 
 
-def build_upstream_parts(
+def build_upstream_components(
     settings: RolloutSettings,
-    feeds: FeedParts,
+    feeds: FeedComponents,
     documents: Documents,
     routes: RouteTable,
     clock: Clock,
     counters: Counters,
-) -> UpstreamParts:
+) -> UpstreamComponents:
     """Build the parts and connect them."""
     pool = Pool(settings.data_centre, clock, counters, settings.regions)
     residency = Residency(settings.regions, routes)
-    feeds.helpers.restrict(partial(residency.may_relay, feeds.presence.own))
-    return UpstreamParts(
+    feeds.relay_peers.restrict(partial(residency.may_relay, feeds.presence.own))
+    return UpstreamComponents(
         pool,
         Registrations(feeds.upstreams, pool, documents.read_member, clock),
         Evacuations(pool, counters),
@@ -53,9 +53,9 @@
 
 
 def limit_cold_starts(
-    parts: UpstreamParts,
+    parts: UpstreamComponents,
     settings: RolloutSettings,
-    feeds: FeedParts,
+    feeds: FeedComponents,
     coordinators: Coordinators,
     routes: RouteTable,
     clock: Clock,
--- a/quetzalcourse/weight_parts.py
+++ b/quetzalcourse/weight_components.py
@@ -33,28 +33,28 @@
     """Services of the platform that waves need."""
 
 
-def name_engines_lease(data_centre: str) -> str:
+def build_engine_lease_key(data_centre: str) -> str:
     """Name the lease on orders to the engines of a data centre."""
     return f'lease/engines/{data_centre}'
 
 
 @dataclass(frozen=True, slots=True)
-class WeightParts:
+class WeightComponents:
     """The data centre's lease on its engines, and the waves under it."""
 
-    keeper: LeaderElector
+    elector: LeaderElector
     waves: WaveRunner
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Run everything for as long as the daemon does."""
-        lifecycle.run(self.keeper.lease.key, self.keeper.run)
+        lifecycle.run(self.elector.lease.key, self.elector.run)
         lifecycle.run('waves', self.waves.run)
         lifecycle.on_drain(self.on_drain)
         lifecycle.on_stop(self.on_drain)
 
     def describe(self) -> dict[str, Any]:
         """Tell who orders, and how far the newest versions are."""
-        lease = self.keeper.lease.describe()
+        lease = self.elector.lease.describe()
         waves = {
             model: asdict(status)
             for model, status in self.waves.describe().items()
@@ -63,12 +63,12 @@
 
     async def on_drain(self) -> None:
         """Give the lease up once no order is on its way any more."""
-        self.keeper.stop_renewing()
+        self.elector.stop_renewing()
         await self.waves.finish()
-        await self.keeper.release()
+        await self.elector.release()
 
 
-def build_weights(
+def build_weight_components(
     settings: ProcessSettings,
     session: aiohttp.ClientSession,
     platform: WeightPlatform,
@@ -76,7 +76,7 @@
     find_report: Callable[[str], EngineReport | None],
     clock: Clock,
     counters: Counters,
-) -> WeightParts:
+) -> WeightComponents:
     """Build the parts and connect them.
 
     :param platform: keeps the lease and tells the published versions.
@@ -84,28 +84,30 @@
     """
     incarnation = members.own.incarnation
     data_centre = settings.data_centre
-    key = name_engines_lease(data_centre)
-    times = settings.lease
-    terms = LeaseTimings(
-        timedelta(seconds=times.term_seconds),
-        timedelta(seconds=times.margin_seconds),
-        timedelta(seconds=times.order_timeout_seconds),
+    key = build_engine_lease_key(data_centre)
+    lease_settings = settings.lease
+    timings = LeaseTimings(
+        timedelta(seconds=lease_settings.term_seconds),
+        timedelta(seconds=lease_settings.margin_seconds),
+        timedelta(seconds=lease_settings.order_timeout_seconds),
     )
-    lease = Lease(platform, clock, key, incarnation, terms)
-    keeper = LeaderElector(lease, members, clock, counters, data_centre)
-    wishes = settings.weights
+    lease = Lease(platform, clock, key, incarnation, timings)
+    elector = LeaderElector(lease, members, clock, counters, data_centre)
+    weight_settings = settings.weights
     waves = WaveRunner(
         data_centre,
         lease,
-        EngineControlClient(session, incarnation, times.order_timeout_seconds),
+        EngineControlClient(
+            session, incarnation, lease_settings.order_timeout_seconds
+        ),
         NewestVersions(platform, clock),
         find_report,
         clock,
         counters,
         WaveLimits(
-            wishes.serving_share,
-            wishes.loads_per_second,
-            timedelta(seconds=wishes.swap_seconds),
+            weight_settings.serving_share,
+            weight_settings.loads_per_second,
+            timedelta(seconds=weight_settings.swap_seconds),
         ),
     )
-    return WeightParts(keeper, waves)
+    return WeightComponents(elector, waves)
