--- a/quetzalcourse/__main__.py
+++ b/quetzalcourse/__main__.py
@@ -37,7 +37,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Build the parser with a subcommand for each module of commands."""
+    """Build the parser, with a subcommand for each command module."""
     parser = argparse.ArgumentParser(
         prog='quetzalctl',
         description='Drive quetzalcourse through its manifest and keys.',
@@ -52,8 +52,8 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run ``quetzalctl``.
 
-    :param arguments: command line, the process's own if left out.
-    :returns: 0 done, 1 failed, 2 wrong usage.
+    :param arguments: command line; defaults to that of the process.
+    :returns: exit code: 0 for success, 1 for failure, 2 for wrong usage.
     """
     options = build_parser().parse_args(arguments)
     try:
--- a/quetzalcourse/application.py
+++ b/quetzalcourse/application.py
@@ -1,4 +1,4 @@
-"""The application object: owns every part of a daemon and cleans up."""
+"""Application object that builds, runs and stops a daemon's components."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
 
 
 class Application:
-    """One daemon, from its start to its graceful shutdown.
+    """Runs one daemon from its start to its graceful shutdown.
 
-    :param settings: checked settings of the process.
+    :param settings: validated settings of the process.
     """
 
     def __init__(self, settings: ProcessSettings) -> None:
-        """Open the listening socket, so that the address is known."""
+        """Open the listening socket, which fixes the address."""
         self.settings = settings
         self.clock = SystemClock()
         self.counters = Counters()
@@ -82,7 +82,7 @@
         self.peers = self.peering.link
 
     async def on_start(self) -> None:
-        """Build the parts, adopt a manifest and begin to serve."""
+        """Build the components, load a manifest and start serving."""
         self._session = aiohttp.ClientSession(
             connector=build_connector(),
             skip_auto_headers=('User-Agent', 'Accept', 'Accept-Encoding'),
@@ -110,10 +110,10 @@
         )
 
     async def on_drain(self) -> None:
-        """Hand over what this daemon owns and finish what is being served.
+        """Hand over leases and steps, and finish the running requests.
 
-        Callers are served until the end; readiness tells the balancer, and
-        the heartbeats tell the other daemons.
+        Callers are served until the drain ends. The load balancer learns of
+        the drain from the readiness probe, the other daemons from heartbeats.
         """
         self.activity.draining = True
         self.activity.ready = False
@@ -135,10 +135,10 @@
         log.info('Drain ended.', cut=self.activity.serving)
 
     async def on_stop(self) -> None:
-        """Close everything that the daemon opened, however far it got."""
+        """Close everything that was opened, also after a partial start."""
         await self.lifecycle.stop()
-        # Requests that are cut have lost their upstreams by now, and their
-        # callers are owed the refusal that says so.
+        # Requests that were cut off have lost their upstream connections by
+        # now; their callers still have to receive the refusal.
         deadline = self.clock.elapsed() + FINAL_RESPONSES_TIMEOUT
         while self.activity.serving and self.clock.elapsed() < deadline:
             await self.clock.sleep(DRAIN_POLL_INTERVAL)
@@ -216,7 +216,7 @@
         self.status.add('weights', self.weights.describe)
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Hand a manifest that came into force to every part."""
+        """Pass a newly effective manifest to every component."""
         self.keys.replace_grants(manifest.keys.values())
         self.slots.on_manifest(manifest)
         self.upstreams.on_manifest(manifest)
--- a/quetzalcourse/batch_components.py
+++ b/quetzalcourse/batch_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that accept, run and show batches."""
+"""Builds the components that accept and run batches and serve results."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchCalls:
-    """Calls to upstreams and to other daemons that batches need."""
+    """Clients for upstreams and other daemons that batches need."""
 
     items: ItemRunner
     scorer: Scorer
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchComponents:
-    """All that a daemon does about batches."""
+    """Batch components of a daemon."""
 
     result_reader: ResultReader
     runner: BatchRunner
@@ -62,7 +62,7 @@
     service: BatchService
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run the parts in the background."""
+        """Run the components in the background."""
         lifecycle.run('results', self.result_reader.run)
         lifecycle.run('items', self.runner.run)
         lifecycle.run('batches', self.takeover.run)
@@ -79,7 +79,7 @@
     clock: Clock,
     counters: Counters,
 ) -> BatchComponents:
-    """Build the parts and connect them."""
+    """Build the components and connect them."""
     rows = BatchRows(feeds.store)
     directory = BatchDirectory(feeds.batches)
     result_reader = ResultReader(rows, directory, clock)
--- a/quetzalcourse/client.py
+++ b/quetzalcourse/client.py
@@ -1,7 +1,7 @@
-"""Library part for trainers: create a step and read its samples once.
+"""Client library for trainers: create steps and read each sample once.
 
-It needs the callers' addresses and a key, holds no thread, and goes on
-through any daemon when one is replaced.
+It needs the daemons' addresses for callers and a key. It starts no threads,
+and fails over to any other daemon when one is replaced.
 """
 
 from __future__ import annotations
@@ -47,34 +47,34 @@
 
 
 class StepError(QuetzalcourseError):
-    """A refusal that asking again does not mend.
+    """A refusal that a retry does not resolve.
 
     :param code: stable code of the refusal.
-    :param message: sentence for a person.
+    :param message: human-readable reason.
     """
 
     def __init__(self, code: str, message: str) -> None:
-        """Keep the code for the caller to test."""
+        """Store the code, which callers can test."""
         super().__init__(f'{code}: {message}')
         self.code = code
 
 
 class BatchList(msgspec.Struct):
-    """Answer to a reading."""
+    """Response to a read of samples."""
 
     batches: list[DeliveredBatch]
 
 
 class TrainerClient:
-    """Asks any of several daemons for steps.
+    """Creates and reads steps through any of several daemons.
 
-    Used as an asynchronous context manager, which owns its connections.
+    An asynchronous context manager that owns its connections.
 
-    :param addresses: base URLs of the daemons or of their balancer.
-    :param key: the client account's key.
-    :param poll: pause between readings that brought nothing.
-    :param patience: how long a call is tried before it fails.
-    :param call_timeout: how long one address may take to answer.
+    :param addresses: base URLs of the daemons or of their load balancer.
+    :param key: API key of the client account.
+    :param poll: pause between retries, and after reads without new batches.
+    :param patience: time for which a call is retried before it fails.
+    :param call_timeout: time that one address has to respond.
     """
 
     def __init__(
@@ -85,9 +85,9 @@
         patience: timedelta = RETRY_TIMEOUT,
         call_timeout: timedelta = CALL_TIMEOUT,
     ) -> None:
-        """Keep the addresses; nothing is connected yet."""
+        """Store the addresses without connecting."""
         if not addresses:
-            raise ValueError('a trainer needs at least one address')
+            raise ValueError('TrainerClient needs at least one address')
         self._addresses = itertools.cycle(addresses)
         self._address = next(self._addresses)
         self._headers = {'Authorization': f'Bearer {key}'}
@@ -113,7 +113,7 @@
         await self._session.close()
 
     async def create(self, body: StepBody) -> StepAnswer:
-        """Create a step; the same body again finds the same step.
+        """Create a step; repeating the call with the same body is idempotent.
 
         :raises StepError: if the step is refused.
         """
@@ -123,12 +123,12 @@
         return msgspec.json.decode(content, type=StepAnswer)
 
     async def observe(self, trainer: str, step: int) -> StepProgress:
-        """Tell how far a step is."""
+        """Return the progress of a step."""
         content = await self._call('GET', f'/v1/steps/{trainer}/{step}')
         return msgspec.json.decode(content, type=StepProgress)
 
     async def cancel(self, trainer: str, step: int) -> None:
-        """Give a step up; its samples are gone."""
+        """Cancel a step and discard its samples."""
         await self._call('DELETE', f'/v1/steps/{trainer}/{step}')
 
     async def read(
@@ -137,13 +137,13 @@
         step: int,
         cursor: int,
     ) -> list[DeliveredBatch]:
-        """Read batches from a cursor on; reading again gives the same."""
+        """Read batches from a cursor on; a repeated read returns the same."""
         path = f'/v1/steps/{trainer}/{step}/samples?cursor={cursor}'
         content = await self._call('GET', path)
         return msgspec.json.decode(content, type=BatchList).batches
 
     async def acknowledge(self, trainer: str, step: int, cursor: int) -> None:
-        """Keep the batches before a cursor; they are not read again."""
+        """Acknowledge the batches before a cursor, so none is read again."""
         body = msgspec.json.encode({'cursor': cursor})
         path = f'/v1/steps/{trainer}/{step}/acknowledge'
         content = await self._call('POST', path, body)
@@ -154,10 +154,10 @@
         trainer: str,
         step: int,
     ) -> AsyncIterator[Sample]:
-        """Yield every sample of a step once, until the step is whole.
+        """Yield every sample of a step once, until the step is complete.
 
-        Batches are acknowledged when the samples after them are asked for,
-        so that a trainer that dies reads again what it was working on.
+        A batch is acknowledged when the sample after it is requested, so a
+        trainer that crashes reads the batch it was working on again.
 
         :raises StepError: if the step is refused or cancelled.
         """
@@ -190,8 +190,8 @@
     async def _is_fully_read(
         self, trainer: str, step: int, cursor: int
     ) -> bool:
-        # A trainer that died after its last acknowledgement finds no batch
-        # that says the step is whole, and would wait for one for ever.
+        # A trainer that crashed after its last acknowledgement gets no batch
+        # that marks the step as complete, and would poll forever.
         if cursor == 0:
             return False
         record = (await self.observe(trainer, step)).delivery
@@ -231,7 +231,7 @@
 
 
 def read_refusal(content: bytes, status: int) -> StepError:
-    """Read why a daemon, or a balancer before it, refused a call."""
+    """Parse the refusal of a daemon, or of a load balancer before it."""
     try:
         detail = msgspec.json.decode(content, type=RefusalBody).error
     except msgspec.DecodeError:
--- a/quetzalcourse/daemon.py
+++ b/quetzalcourse/daemon.py
@@ -27,13 +27,13 @@
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_REQUESTS_CUT = 1
-# Where OpenSSL looks for certificates of authorities.
+# OpenSSL reads the locations of CA certificates from these.
 CERTIFICATE_VARIABLES = ('SSL_CERT_FILE', 'SSL_CERT_DIR')
 log = get_log('daemon')
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Build the parser of the daemon's command line."""
+    """Build the command-line parser of the daemon."""
     parser = argparse.ArgumentParser(
         prog='quetzalcoursed',
         description='Serve trainers and human callers from shared engines.',
@@ -49,41 +49,41 @@
 
 
 class StoppableApplication(Protocol):
-    """An application object by its life-cycle hooks."""
+    """Interface to an application: its lifecycle hooks."""
 
     activity: Activity
 
     async def on_start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def on_drain(self) -> None:
-        """Hand over and finish."""
+        """Hand over leases and work, and finish running requests."""
 
     async def on_stop(self) -> None:
-        """Close everything."""
+        """Close everything that was opened."""
 
 
 async def serve(application: StoppableApplication) -> int:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until it receives a stop signal.
 
-    :returns: exit code, 0 if nothing was cut.
+    :returns: exit code, 0 if no request was cut off.
     """
     signals: asyncio.Queue[signal.Signals] = asyncio.Queue()
     loop = asyncio.get_running_loop()
     for stop_signal in STOP_SIGNALS:
         loop.add_signal_handler(stop_signal, signals.put_nowait, stop_signal)
-    # Left alone this signal would end the process and cut its callers.
+    # The default action of SIGHUP ends the process and cuts off its callers.
     loop.add_signal_handler(signal.SIGHUP, log_reload_request)
     return await run_application(application, signals)
 
 
 def log_reload_request() -> None:
-    """Note that the settings file has changed.
+    """Log that the settings file has changed.
 
-    Settings are read at the start; what may change while a daemon runs comes
-    with the manifest.
+    Settings are read only at the start; everything that may change while a
+    daemon runs is in the manifest.
     """
-    log.info('Reload was asked for.', effect='at the next start')
+    log.info('Reload signal received.', effect='at the next start')
 
 
 async def run_application(
@@ -92,24 +92,24 @@
 ) -> int:
     """Start an application, and stop it gracefully at the first signal.
 
-    :param signals: signals as they arrive; a second one ends the stop.
-    :returns: exit code, 0 if nothing was cut.
+    :param signals: stop signals received; a second one ends the drain.
+    :returns: exit code, 0 if no request was cut off.
     """
     stop = asyncio.ensure_future(signals.get())
     starting = asyncio.ensure_future(application.on_start())
     if not await finish_before(starting, stop):
-        log.info('Start was ended by a signal.')
+        log.info('Start interrupted by a signal.')
         await application.on_stop()
         return 0
     await stop
     draining = asyncio.ensure_future(application.on_drain())
     second_signal = asyncio.ensure_future(signals.get())
     if not await finish_before(draining, second_signal):
-        log.warning('Drain was ended by a signal.')
+        log.warning('Drain interrupted by a signal.')
     second_signal.cancel()
     cut = application.activity.serving
     if cut:
-        log.warning('Requests were cut.', cut=cut)
+        log.warning('Running requests were cut off.', cut=cut)
     await application.on_stop()
     return EXIT_REQUESTS_CUT if cut else 0
 
@@ -118,7 +118,7 @@
     work: asyncio.Future[None],
     interrupt: asyncio.Future[signal.Signals],
 ) -> bool:
-    """Wait for work unless an interrupt comes first, which cancels it.
+    """Wait for work, and cancel it if an interrupt comes first.
 
     :returns: whether the work finished.
     """
@@ -132,12 +132,12 @@
 
 
 async def serve_file(path: Path) -> int:
-    """Run a daemon by a settings file of its own format.
+    """Run a daemon from a settings file in its own TOML format.
 
-    :raises AbortError: if the settings have faults.
+    :raises AbortError: if the settings are invalid.
     """
-    # A daemon on a platform never loads the models of these settings,
-    # which take 8 MB.
+    # Imported here because a daemon on a platform does not need the models
+    # of these settings, which take 8 MB.
     from quetzalcourse.application import Application  # noqa: PLC0415, WPS433
     from quetzalcourse.settings.process import (  # noqa: PLC0415, WPS433
         load_settings,
@@ -153,20 +153,20 @@
 
 
 def disable_certificate_loading() -> None:
-    """Keep libraries from reading the machine's certificates.
+    """Keep libraries from loading the CA certificates of the machine.
 
-    On a platform everything is reached over plain HTTP. aiohttp reads the
-    certificates when it is imported all the same, which is a large share of
-    the time in which a killed daemon is back.
+    On a platform all connections are plain HTTP, but aiohttp loads the
+    certificates on import, which takes a large share of the restart time of
+    a killed daemon.
     """
     for name in CERTIFICATE_VARIABLES:
         os.environ[name] = os.devnull
 
 
 async def serve_platform(path: Path) -> int:
-    """Run a daemon by the settings file of the platform.
+    """Run a daemon from the settings file of the platform.
 
-    :raises AbortError: if the settings have faults.
+    :raises AbortError: if the settings are invalid.
     """
     disable_certificate_loading()
     from quetzalcourse.platform.deployment import (  # noqa: PLC0415, WPS433
@@ -191,24 +191,25 @@
 def start(arguments: Sequence[str] | None) -> int:
     """Read the settings and run the daemon.
 
-    :raises AbortError: if there are no settings, or they have faults.
+    :raises AbortError: if there are no settings, or they are invalid.
     """
     options = build_parser().parse_args(arguments)
     if options.settings is not None:
         return run_loop(serve_file(options.settings))
     path = find_file()
     if path is None:
-        raise AbortError('name a settings file with --settings')
+        raise AbortError('no settings file; pass one with --settings')
     return run_loop(serve_platform(path))
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run ``quetzalcoursed``.
 
-    :param arguments: command line, the process's own if left out.
+    :param arguments: command line; defaults to that of the process.
     """
-    # Settings may change while a daemon starts, which takes a second on a
-    # busy VM. Until the loop has its handler the signal would end it.
+    # The platform may send SIGHUP for changed settings while a daemon starts,
+    # which takes a second on a busy VM. Until the event loop has its handler,
+    # the default action would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         return start(arguments)
--- a/quetzalcourse/deployment.py
+++ b/quetzalcourse/deployment.py
@@ -1,4 +1,4 @@
-"""Interface to the platform that a daemon runs on."""
+"""Interfaces to the platform that a daemon runs on."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
 
 
 class StoreClients(Protocol):
-    """The platform's store: rows, changes and a clock."""
+    """Clients of the platform's store: rows, change feed and clock."""
 
     @property
     def table(self) -> Table:
-        """Rows."""
+        """Reads and writes rows."""
 
     @property
     def feed(self) -> ChangeFeed:
-        """Changes of rows."""
+        """Follows changes of rows."""
 
     @property
     def clock(self) -> StoreClock:
-        """The store's own clock."""
+        """Estimates the store's clock."""
 
 
 class Documents(Protocol):
-    """Rows that operators, trainers and upstreams write into the store."""
+    """Format of rows that operators, trainers and upstreams write."""
 
     @property
     def operator_table(self) -> str:
-        """Table that operators write."""
+        """Table that operators and trainers write to."""
 
     @property
     def upstream_table(self) -> str:
@@ -52,61 +52,61 @@
 
     @property
     def manifest_key(self) -> str:
-        """Row of the routing manifest."""
+        """Key of the routing manifest's row."""
 
     @property
     def version_prefix(self) -> str:
-        """What the rows of named versions begin with."""
+        """Key prefix of rows that name a version to load."""
 
     @property
     def evacuation_prefix(self) -> str:
-        """What the rows of evacuated data centres begin with."""
+        """Key prefix of rows that evacuate a data centre."""
 
     def read_manifest(self, content: bytes) -> Result[RoutingManifest, str]:
-        """Read a routing manifest."""
+        """Parse a routing manifest."""
 
     def read_member(
         self,
         name: str,
         content: bytes,
     ) -> Result[PoolMember, str]:
-        """Read the entry of an upstream."""
+        """Parse the registration of an upstream."""
 
     def read_version(self, content: bytes) -> Result[tuple[str, int], str]:
-        """Read a named version: the model and its version."""
+        """Parse a named version into the model and its version."""
 
 
 class Deployment(Protocol):
-    """Everything that differs from one platform to another."""
+    """Everything that is specific to a platform."""
 
     @property
     def settings(self) -> RolloutSettings:
-        """What the daemon is told at its start."""
+        """Settings of the daemon, read at its start."""
 
     @property
     def documents(self) -> Documents:
-        """Rows that others write."""
+        """Format of rows that others write."""
 
     @property
     def callers(self) -> CallerDialect:
-        """Words of callers."""
+        """Wire format of callers."""
 
     @property
     def upstreams(self) -> UpstreamDialect:
-        """Words of upstreams."""
+        """Wire format of upstreams."""
 
     @property
     def readiness_path(self) -> str:
-        """Path that the balancer asks."""
+        """Path of the load balancer's readiness probe."""
 
     def open_store(self, clock: Clock, counters: Counters) -> StoreClients:
         """Open connections to the store."""
 
     def open_upstream_control(self) -> UpstreamControl:
-        """Open connections for orders to upstreams."""
+        """Open connections for load orders to upstreams."""
 
     def open_usage_reports(self) -> UsageReportSender:
-        """Open connections for reports of usage."""
+        """Open connections for usage reports."""
 
     async def close(self) -> None:
         """Close every connection that was opened."""
--- a/quetzalcourse/duty_components.py
+++ b/quetzalcourse/duty_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that act for all daemons while it holds the lease."""
+"""Builds the components that only the holder of the duty lease runs."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.state.counters import Counters
 
-# Both rows change together, so they share their part.
+# Both rows change in one transaction, so they are in the same part.
 LEASE_KEY = 'duties/all/holder'
 FENCE_KEY = 'duties/all/fence'
-# A holder that died is followed within three seconds: a step that waits for
-# its weights still has most of its time then.
+# A crashed holder is replaced within three seconds, which leaves a step that
+# waits for its weights most of its time.
 LEASE_TIMINGS = LeaseTimings(
     term=timedelta(seconds=2),
     margin=timedelta(seconds=0.25),
@@ -38,9 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyComponents:
-    """All that one daemon at a time does.
+    """Components of the duties that one daemon at a time performs.
 
-    :param min_lease_hold: time within which two holders must not take turns.
+    :param min_lease_hold: time within which the lease must not change
+        holders twice.
     """
 
     lease: Lease
@@ -51,17 +52,17 @@
     duties: frozenset[str]
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run the parts in the background."""
+        """Run the components in the background."""
         lifecycle.run('duty lease', self.elector.run)
         lifecycle.run('load orders', self.load_controller.run)
         if USAGE_DUTY in self.duties:
             lifecycle.run('usage', self.usage_reporter.run)
 
     async def hand_over(self) -> None:
-        """Let the next holder begin at once, unless turns were too quick.
+        """Release the lease, unless it was acquired only recently.
 
-        Two daemons that stop one after the other would otherwise pass the
-        duty to and fro faster than receivers can tell them apart.
+        Daemons that stop one after the other would otherwise pass the lease
+        on faster than receivers can tell its holders apart.
         """
         self.elector.stop_renewing()
         if self.lease.held_for > self.min_lease_hold:
@@ -78,10 +79,10 @@
     wall_clock: WallClockEstimate,
     counters: Counters,
 ) -> DutyComponents:
-    """Build the parts and connect them.
+    """Build the components and connect them.
 
-    :param incarnation: name of this run of the daemon.
-    :param wall_clock: tells windows of usage, and steady time.
+    :param incarnation: id of this run of the daemon.
+    :param wall_clock: gives usage windows and monotonic time.
     """
     settings = deployment.settings
     lease = Lease(
@@ -124,6 +125,6 @@
 
 
 def _is_predecessor(incarnation: str, holder: str) -> bool:
-    """Tell whether a holder was an earlier run on the same VM."""
+    """Check whether a holder was an earlier run on the same VM."""
     before = holder.partition(':')[0]
     return before != incarnation and read_vm(before) == read_vm(incarnation)
--- a/quetzalcourse/exceptions.py
+++ b/quetzalcourse/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions that the package raises."""
+"""Exceptions of the package."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class QuetzalcourseError(Exception):
-    """Root of every exception of the package."""
+    """Base class of all exceptions of the package."""
 
 
 class AbortError(QuetzalcourseError):
-    """End of a program with a message and without a traceback.
+    """Ends a program with an error message and without a traceback.
 
-    :param message: what to show on standard error.
+    :param message: text for standard error.
     :param exit_code: the program's exit code.
     """
 
     def __init__(self, message: str, exit_code: int = 1) -> None:
-        """Keep the exit code beside the message."""
+        """Store the message and the exit code."""
         super().__init__(message)
         self.exit_code = exit_code
 
 
 class RefusedError(QuetzalcourseError):
-    """Work that ends with a refusal to its caller.
+    """Ends a request with a refusal to its caller.
 
-    :param refusal: what the caller is told.
+    :param refusal: response to the caller.
     """
 
     def __init__(self, refusal: Refusal) -> None:
-        """Keep the refusal for the caller's answer."""
+        """Store the refusal for the response."""
         super().__init__(refusal.message)
         self.refusal = refusal
--- a/quetzalcourse/feed_components.py
+++ b/quetzalcourse/feed_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that follow the store and the other daemons."""
+"""Builds the components that follow the store and the other daemons."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
 
-# Rows of these tables change several times a second; a reader that took
-# each change alone would spend its time on answers of one row. Each daemon
-# writes there, so the pauses grow with the daemons, and the store's reads
-# stay the same: 125 a second of heartbeats and 200 of batches.
+# Rows of these tables change several times a second, and a follower without
+# a pause would spend its time on responses with one row each. Every daemon
+# writes to them, so the pause grows with the number of daemons, which caps
+# the store's reads at 125 a second for heartbeats and 200 for batches.
 HEARTBEAT_READ_PAUSE = timedelta(milliseconds=250)
 HEARTBEAT_READ_PAUSE_PER_DAEMON = timedelta(milliseconds=8)
 BATCH_READ_PAUSE = timedelta(milliseconds=100)
 BATCH_READ_PAUSE_PER_DAEMON = timedelta(milliseconds=5)
-# Rows that a daemon may reach by way of another one.
+# Tables that a daemon may read and write through another one.
 RELAYED_TABLES = (
     batch_rows.TABLE,
     batch_rows.ITEMS,
@@ -46,9 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedComponents:
-    """What a daemon knows of the store's tables and of the others.
+    """Table followers, membership and relay of a daemon.
 
-    :param store: rows of batches and members, directly or by others.
+    :param store: rows of batches and members, read and written directly or
+        through another daemon.
     """
 
     operators: TableFollower
@@ -63,7 +64,7 @@
     probes: LivenessProbes
 
     def on_members(self) -> None:
-        """Read less often where there are more daemons."""
+        """Lengthen the read pauses with the number of daemons."""
         count = len(self.presence.records)
         self.members.pause = max(
             HEARTBEAT_READ_PAUSE, HEARTBEAT_READ_PAUSE_PER_DAEMON * count
@@ -73,7 +74,7 @@
         )
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run the parts in the background."""
+        """Run the components in the background."""
         lifecycle.run('operator feed', self.operators.run)
         lifecycle.run('upstream feed', self.upstreams.run)
         lifecycle.run('batch feed', self.batches.run)
@@ -93,11 +94,11 @@
     clock: Clock,
     counters: Counters,
 ) -> FeedComponents:
-    """Build the parts and connect them.
+    """Build the components and connect them.
 
     :param own: this daemon.
-    :param counts: counts that go with each heartbeat.
-    :param wall_clock: learns how the daemons' calendars differ.
+    :param counts: usage counts that each heartbeat carries.
+    :param wall_clock: learns how the daemons' wall clocks differ.
     """
     operators = TableFollower(
         store.feed,
@@ -168,5 +169,5 @@
 
 
 def _can_reach_store(follower: TableFollower, relay_peers: RelayPeers) -> bool:
-    """Tell whether the store answers, or answers a daemon that helps."""
+    """Check whether the store responds, directly or through a relay."""
     return not follower.store_unavailable or relay_peers.find() is not None
--- a/quetzalcourse/incarnation.py
+++ b/quetzalcourse/incarnation.py
@@ -1,4 +1,4 @@
-"""Names of the runs of a daemon."""
+"""Identifiers of the runs of a daemon."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def generate_incarnation(vm: str) -> str:
-    """Name one run of a daemon, different from every run before."""
+    """Generate a unique id for one run of a daemon."""
     return f'{vm}-{os.urandom(INCARNATION_SUFFIX_BYTES).hex()}'
 
 
 def read_vm(incarnation: str) -> str:
-    """Tell the VM that a run was on."""
+    """Extract the VM from the id of a run."""
     return incarnation.rpartition('-')[0]
--- a/quetzalcourse/lease_components.py
+++ b/quetzalcourse/lease_components.py
@@ -1,4 +1,4 @@
-"""The parts that a lease holder does for all daemons, built and wired."""
+"""Builds the components that only the holder of a lease runs."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseComponents:
-    """Leases of the deployment, and the work that their holders do."""
+    """Leases of the deployment and the components of their holders."""
 
     electors: tuple[LeaderElector, ...]
     usage: UsageCounter
@@ -50,7 +50,7 @@
     fleet: FleetController
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run everything for as long as the daemon does."""
+        """Run the components in the background."""
         lifecycle.run('usage copies', self.replicator.run_replication)
         lifecycle.run('usage rows', self.replicator.run_storing)
         lifecycle.run('usage reports', self.usage_reporter.run)
@@ -61,15 +61,15 @@
         lifecycle.on_drain(self.on_drain)
 
     def describe(self) -> dict[str, Any]:
-        """Tell who holds each lease, as far as this daemon knows."""
+        """Return the state of each lease as this daemon knows it."""
         statuses = [elector.lease.describe() for elector in self.electors]
         return {status.lease: asdict(status) for status in statuses}
 
     async def on_drain(self) -> None:
-        """Give the leases up once nothing is on its way any more.
+        """Release the leases once no order or report is in flight.
 
-        What is on its way is waited for, since the next holder starts at
-        once and its orders must not meet those of this one.
+        The next holder starts at once, and its orders must not overlap with
+        those of this one.
         """
         for elector in self.electors:
             elector.stop_renewing()
@@ -79,13 +79,13 @@
             await elector.release()
 
     async def on_stop(self) -> None:
-        """Store what was counted, and give up what no drain gave up."""
+        """Store the usage counts and release leases that are still held."""
         await self.replicator.flush()
         await self.on_drain()
 
 
 def read_lease_timings(settings: LeaseSettings) -> LeaseTimings:
-    """Turn the settings of leases into their terms."""
+    """Convert the lease settings into timings."""
     return LeaseTimings(
         timedelta(seconds=settings.term_seconds),
         timedelta(seconds=settings.margin_seconds),
@@ -103,9 +103,9 @@
     clock: Clock,
     counters: Counters,
 ) -> LeaseComponents:
-    """Build the parts and connect them.
+    """Build the components and connect them.
 
-    :param incarnation: name of this run of the daemon.
+    :param incarnation: id of this run of the daemon.
     :param session: shared connections to the platform.
     """
     timings = read_lease_timings(settings.lease)
--- a/quetzalcourse/library_log.py
+++ b/quetzalcourse/library_log.py
@@ -1,4 +1,4 @@
-"""Lines of libraries, brought into the form and the bounds of the others."""
+"""Log records of libraries in the format and limits of the daemon's log."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """Writes what a library reports as one line.
+    """Writes each log record of a library as one line.
 
-    Without it Python writes such reports to standard error, as traces of
-    many lines that no search by field finds, and waits for their reader.
+    By default Python writes them to standard error, with tracebacks of many
+    lines that no search by field finds, and blocks if the reader is slow.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a report, with the type and the place of its error."""
+        """Log a record with the type and the location of its error."""
         error = record.exc_info[1] if record.exc_info else None
         log.log(
             record.levelno,
-            'Library reports.',
+            'Library log record.',
             library=record.name,
             report=record.getMessage()[:MAX_MESSAGE_LENGTH],
             error='' if error is None else type(error).__name__,
@@ -38,7 +38,7 @@
 
 
 def find_error_location(traceback: TracebackType | None) -> str:
-    """Tell the innermost file and line of a trace."""
+    """Return the innermost file and line of a traceback."""
     location = ''
     while traceback is not None:
         name = Path(traceback.tb_frame.f_code.co_filename).name
@@ -48,5 +48,5 @@
 
 
 def capture_library_logs() -> None:
-    """Take the reports of all libraries from now on."""
+    """Handle the log records of all libraries from now on."""
     logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING)
--- a/quetzalcourse/lifecycle.py
+++ b/quetzalcourse/lifecycle.py
@@ -1,4 +1,4 @@
-"""Hooks by which the parts of a daemon start, hand over and end."""
+"""Start, drain and stop hooks, and background tasks, of a daemon."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     Hook = Callable[[], Awaitable[None]]
 
 RESTART_DELAY = timedelta(seconds=1)
-# Parts stop within milliseconds; this is for one that hangs.
+# Stop hooks take milliseconds; this bounds one that hangs.
 STOP_TIMEOUT = timedelta(seconds=2)
 log = get_log('lifecycle')
 
 
 class Lifecycle:
-    """Calls the hooks of all parts in their order.
+    """Runs the hooks and background tasks of all components.
 
-    :param counters: counts the faults of background tasks.
+    :param counters: counts failures of hooks and background tasks.
     """
 
     def __init__(self, clock: Clock, counters: Counters) -> None:
-        """Begin without hooks."""
+        """Create a lifecycle without hooks."""
         self._clock = clock
         self._counters = counters
         self._start_hooks: list[Hook] = []
@@ -39,26 +39,26 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def on_start(self, hook: Hook) -> None:
-        """Call a hook at the start, before callers are served."""
+        """Register a hook for the start, before callers are served."""
         self._start_hooks.append(hook)
 
     def on_drain(self, hook: Hook) -> None:
-        """Call a hook in a graceful stop, to hand over what a part owns.
+        """Register a hook for the drain, to hand over what a component owns.
 
-        All of them run together while the last requests finish. By then the
-        other daemons know that this one leaves.
+        Drain hooks run concurrently while the last requests finish. By then
+        the other daemons know that this one is leaving.
         """
         self._drain_hooks.append(hook)
 
     def on_stop(self, hook: Hook) -> None:
-        """Call a hook at the end; the last one registered is called first."""
+        """Register a hook for the stop; hooks run in reverse order."""
         self._stop_hooks.append(hook)
 
     def run(self, name: str, body: Hook) -> None:
-        """Run a part in the background until the end.
+        """Run a task in the background until the stop.
 
-        :param name: name of the task, for logs.
-        :param body: runs until cancelled; started again after a fault.
+        :param name: name of the task in logs and metrics.
+        :param body: runs until cancelled; restarted when it ends or fails.
         """
         task = asyncio.get_running_loop().create_task(
             self._run_repeatedly(name, body)
@@ -66,23 +66,23 @@
         self._tasks.append(task)
 
     async def start(self) -> None:
-        """Call the start hooks in order."""
+        """Call the start hooks in order of registration."""
         for hook in self._start_hooks:
             await hook()
 
     async def drain(self) -> None:
-        """Call the drain hooks together and wait for all of them."""
+        """Call the drain hooks concurrently and wait for all of them."""
         await asyncio.gather(
             *(self._call_safely('drain', hook) for hook in self._drain_hooks)
         )
 
     async def stop(self) -> None:
-        """End the background tasks and call the stop hooks."""
+        """Cancel the background tasks and call the stop hooks."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
-            # A part that lost its cancellation, or waits for a peer that
-            # never answers, must not keep the process from its end.
+            # A task that lost its cancellation, or waits for a peer that
+            # never responds, must not keep the process from exiting.
             await asyncio.wait(
                 self._tasks, timeout=STOP_TIMEOUT.total_seconds()
             )
@@ -96,11 +96,11 @@
             async with asyncio.timeout(STOP_TIMEOUT.total_seconds()):
                 await hook()
         except TimeoutError:
-            log.warning('Part did not stop in time.')
+            log.warning('Stop hook timed out.')
 
     async def _run_repeatedly(self, name: str, body: Hook) -> None:
-        # A task that ended by a fault would leave its part silently stale:
-        # no new manifest, no heartbeat. It is started again and counted.
+        # A task that failed would leave its component silently stale, without
+        # new manifests or heartbeats. It is restarted, and counted.
         while True:
             await self._call_safely(name, body)
             await self._clock.sleep(RESTART_DELAY)
@@ -111,7 +111,7 @@
         except Exception as error:
             self._counters.add('part_faults', part=name)
             log.error(
-                'Part failed.',
+                'Hook or background task failed.',
                 name=name,
                 kind=type(error).__name__,
                 reason=str(error),
--- a/quetzalcourse/log.py
+++ b/quetzalcourse/log.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences with a fixed prefix for each part."""
+"""Structured logging, with a fixed part name for each component."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 ) -> None:
     """Set up logging for the process.
 
-    :param level: name of the lowest level to show.
+    :param level: name of the lowest level to write.
     :param log_format: one of :data:`FORMATS`.
-    :param output: where lines go.
-    :param limit: bounds the lines of each event.
-    :param vm: named in every line, to tell daemons' lines apart once they
-        are collected.
+    :param output: destination of the lines.
+    :param limit: rate limit for the lines of each event.
+    :param vm: added to every line, to tell the daemons apart in collected
+        logs.
     """
     extra_processors: list[Any] = [limit] if limit is not None else []
     if vm:
@@ -54,10 +54,10 @@
 
 
 class VmNameProcessor:
-    """Adds the name of the VM to lines."""
+    """structlog processor that adds the name of the VM to each line."""
 
     def __init__(self, vm: str) -> None:
-        """Keep the name."""
+        """Store the name."""
         self._vm = vm
 
     def __call__(
@@ -72,13 +72,13 @@
 
 
 def bind_log(**names: object) -> None:
-    """Show names in every line that the calling task logs from now on."""
+    """Add fields to every line that the calling task logs from now on."""
     structlog.contextvars.bind_contextvars(**names)
 
 
 def get_log(part: str) -> FilteringBoundLogger:
-    """Get the log of a part.
+    """Return the logger of a component.
 
-    :param part: fixed prefix of its lines.
+    :param part: value of the field ``part`` in its lines.
     """
     return structlog.get_logger(part=part)
--- a/quetzalcourse/log_output.py
+++ b/quetzalcourse/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines on their way out: bounded in number, and never waited for."""
+"""Rate limit and non-blocking output of log lines."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Lines a second of one event; a site's busiest second has some thirty
-# requests a daemon, each with a few lines.
+# Lines of one event. In its busiest second a daemon serves some thirty
+# requests, each with a few lines.
 LINES_PER_SECOND = 100
-# Lines that wait for a slow reader; about ten seconds of a busy daemon.
+# Holds about ten seconds of a busy daemon's lines for a slow reader.
 BUFFER_BYTES = 262_144
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Lines of one event.
+    """Rate limit of one event.
 
     :param tokens: lines that may still be written.
-    :param refilled_at: when it was last refilled, in seconds.
-    :param suppressed: lines that were not written since the last one.
+    :param refilled_at: time of the last refill, in seconds.
+    :param suppressed: lines dropped since the last one written.
     """
 
     tokens: float
@@ -36,12 +36,12 @@
 
 
 class LogRateLimiter:
-    """Lets a bounded number of lines of each event pass.
+    """structlog processor that limits the rate of lines for each event.
 
-    A flood of one kind, as of refusals while a service is down, would
-    otherwise hide every other line and cost the time of the requests.
+    A flood of one event, such as refusals while a service is down, would
+    otherwise hide every other line and slow the requests down.
 
-    :param read_time: tells seconds.
+    :param read_time: returns a monotonic time in seconds.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         lines_per_second: float = LINES_PER_SECOND,
         read_time: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin with a full allowance for every event."""
+        """Start with a full bucket for every event."""
         self.suppressed = 0
         self._lines_per_second = lines_per_second
         self._read_time = read_time
@@ -61,9 +61,9 @@
         name: str,
         line: dict[str, Any],
     ) -> dict[str, Any]:
-        """Pass a line, with the number of those left out before it.
+        """Pass a line on, with the number of lines suppressed before it.
 
-        :raises structlog.DropEvent: if the event has no allowance left.
+        :raises structlog.DropEvent: if the event's bucket is empty.
         """
         now = self._read_time()
         event = str(line.get('event', name))
@@ -85,12 +85,13 @@
 
 
 class NonBlockingOutput:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    A reader that stops would stop the loop with the next line, and with it
-    every request; lines that do not fit are dropped and counted instead.
+    A reader that stops would otherwise block the event loop, and with it
+    every request. Lines that exceed the buffer are dropped and counted.
 
-    :param descriptor: where lines go; it is set to be non-blocking.
+    :param descriptor: destination of the lines; set to non-blocking mode.
+    :param buffer_bytes: most bytes to hold for a slow reader.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         descriptor: int,
         buffer_bytes: int = BUFFER_BYTES,
     ) -> None:
-        """Begin with nothing waiting."""
+        """Start with an empty buffer."""
         self.dropped = 0
         self._descriptor = descriptor
         self._buffer_bytes = buffer_bytes
@@ -108,7 +109,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Write a line, or keep it until the reader goes on."""
+        """Write a line, or buffer it until the reader continues."""
         line = text.encode()
         if self._buffered_bytes + len(line) > self._buffer_bytes:
             self.dropped += 1
@@ -118,7 +119,7 @@
         self._flush()
 
     def flush(self) -> None:
-        """Do nothing: lines are written as they come."""
+        """Do nothing, since lines are written immediately."""
 
     def _flush(self) -> None:
         while self._buffer:
@@ -139,7 +140,7 @@
         self._unwatch_descriptor()
 
     def _drop_all(self) -> None:
-        # Nobody reads any more; there is nowhere to say so.
+        # The reader has closed its end, so the loss cannot be logged.
         self.dropped += len(self._buffer)
         self._buffer.clear()
         self._buffered_bytes = 0
@@ -152,8 +153,8 @@
             loop = asyncio.get_running_loop()
             loop.add_writer(self._descriptor, self._flush)
         except (RuntimeError, OSError, ValueError):
-            # Before the loop runs, or for a file that can't be watched, the
-            # next line tries again.
+            # The loop does not run yet, or the descriptor cannot be watched;
+            # the next line tries again.
             return
         self._watched_loop = loop
 
--- a/quetzalcourse/loop.py
+++ b/quetzalcourse/loop.py
@@ -1,4 +1,4 @@
-"""The event loop that every program of the package runs on."""
+"""Event loop of all programs of the package."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 
 def run_loop(main: Coroutine[Any, Any, int]) -> int:
-    """Run a program on uvloop.
+    """Run a coroutine on uvloop.
 
-    libuv sets up io_uring unless told otherwise before the loop is made;
-    the machine rules forbid it, and one would find an ``io_uring``
-    descriptor open. So the variable is set here and not in a shell.
+    libuv sets up io_uring and keeps an ``io_uring`` descriptor open, which
+    the rules of the machines forbid, unless an environment variable says
+    otherwise before the loop is created. It is set here so that no caller
+    has to set it in a shell.
 
-    :param main: the program.
+    :param main: main coroutine of the program.
     :returns: its exit code.
     """
     os.environ['UV_USE_IO_URING'] = '0'
--- a/quetzalcourse/peering.py
+++ b/quetzalcourse/peering.py
@@ -1,4 +1,4 @@
-"""Parts by which a daemon acts together with the other daemons."""
+"""Builds the components that connect a daemon with the other daemons."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 
 
 class Peering:
-    """Link, membership, and the news that travels over them.
+    """Peer link, membership and gossip of a daemon.
 
-    :param incarnation: name of this run of the daemon.
+    :param incarnation: id of this run of the daemon.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Open the link, so that the address is known."""
+        """Open the peer link, which fixes the address."""
         self._settings = settings
         self._clock = clock
         self._counters = counters
@@ -82,7 +82,7 @@
         manifest: ManifestStore,
         keys: KeyRing,
     ) -> None:
-        """Build what follows the store and the other daemons.
+        """Build the store poller and the gossip of manifests and keys.
 
         :param manifest: receives newer versions.
         :param keys: receives grants and withdrawals.
@@ -123,11 +123,11 @@
         keys.is_current = self._is_current
 
     def on_vms(self, listener: Callable[[list[Vm]], None]) -> None:
-        """Call a listener with each list of VMs that the platform gave."""
+        """Register a listener for each list of VMs from the platform."""
         self._vm_listeners.append(listener)
 
     async def start(self, lifecycle: Lifecycle) -> None:
-        """Begin to talk to the other daemons and to follow the store."""
+        """Start membership, gossip and the polling of the store."""
         self.link.start(self.members.own)
         lifecycle.run('membership', self.members.run)
         lifecycle.run('seeds', self._refresh_seeds)
@@ -137,12 +137,12 @@
         lifecycle.run('cuts', self.partitions.run)
 
     async def stop(self) -> None:
-        """Tell the other daemons that this one ends, and close the link."""
+        """Announce to the other daemons that this one ends; close the link."""
         self.members.announce_gone()
         self.link.stop()
 
     def describe(self) -> dict[str, Any]:
-        """Tell the state of all this for ``/status``."""
+        """Return the state of peering for ``/status``."""
         age = self.freshness.find_age()
         return {
             'incarnation': self.members.own.incarnation,
--- a/quetzalcourse/quarantine_components.py
+++ b/quetzalcourse/quarantine_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that quarantine requests which end upstreams."""
+"""Builds the components that quarantine requests which crash upstreams."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineComponents:
-    """What a daemon knows of such requests, and how it tells the others."""
+    """Quarantine records, their storage and the updates to other daemons."""
 
     quarantine: Quarantine
     follower: TableFollower
@@ -35,7 +35,7 @@
     ends: UpstreamEnds
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run the parts in the background."""
+        """Run the components in the background."""
         lifecycle.run('quarantine feed', self.follower.run)
         lifecycle.run('quarantine rows', self.rows.run)
 
@@ -48,7 +48,7 @@
     clock: Clock,
     counters: Counters,
 ) -> QuarantineComponents:
-    """Build the parts and connect them."""
+    """Build the components and connect them."""
     quarantine = Quarantine(QuarantineRecords(clock), counters)
     pool.registration_listeners.append(partial(_on_registration, quarantine))
     follower = TableFollower(
--- a/quetzalcourse/request_components.py
+++ b/quetzalcourse/request_components.py
@@ -1,4 +1,4 @@
-"""The parts that bring requests to upstreams, built and wired."""
+"""Builds the components that route admitted requests to upstreams."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestComponents:
-    """Everything between a request that is let in and its upstream."""
+    """Components between an admitted request and its upstream."""
 
     drains: DrainTracker
     outlier_detector: OutlierDetector
@@ -49,7 +49,7 @@
     reports: EngineReports
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Hand a manifest that came into force to every part."""
+        """Pass a newly effective manifest to every component."""
         self.router.on_manifest(manifest)
         self.outlier_detector.on_manifest(manifest)
         self.engine_poller.on_manifest(manifest)
@@ -65,12 +65,12 @@
     clock: Clock,
     counters: Counters,
 ) -> RequestComponents:
-    """Build the parts and connect them.
+    """Build the components and connect them.
 
-    :param data_centre: where this daemon runs.
-    :param incarnation: name of this run of the daemon.
+    :param data_centre: data centre of this daemon.
+    :param incarnation: id of this run of the daemon.
     :param session: shared connections to upstreams.
-    :param table: where idempotency keys are claimed.
+    :param table: stores the claims of idempotency keys.
     """
     reports = EngineReports()
     prefixes = PrefixCacheHints()
--- a/quetzalcourse/rollout_application.py
+++ b/quetzalcourse/rollout_application.py
@@ -1,4 +1,4 @@
-"""The application object of a daemon that runs on a platform."""
+"""Application object of a daemon that runs on a platform."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
 
 OK = 200
 UNAVAILABLE = 503
-# The balancer takes a daemon out after two questions, one each second.
+# The load balancer removes a daemon after two failed probes, one a second.
 BALANCER_REMOVAL_TIME = timedelta(seconds=3)
-# Left for the last answers before the platform kills the process.
+# Time for the last responses before the platform kills the process.
 STOP_MARGIN = timedelta(seconds=1.5)
 DRAIN_POLL_INTERVAL = timedelta(milliseconds=50)
 log = get_log('application')
 
 
 class RolloutApplication:
-    """One daemon on a platform, from its start to its graceful shutdown.
+    """Runs one daemon on a platform from start to graceful shutdown.
 
-    :param deployment: the platform.
+    :param deployment: adapter to the platform.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -90,12 +90,12 @@
     def attach_log_output(
         self, output: NonBlockingOutput, limit: LogRateLimiter
     ) -> None:
-        """Show in the metrics how many log lines were left out."""
+        """Report suppressed and dropped log lines in the metrics."""
         self._log_output = output
         self._log_limit = limit
 
     async def on_start(self) -> None:
-        """Build the parts and begin to serve."""
+        """Build the components and start serving."""
         self.lifecycle.on_stop(self._deployment.close)
         self._build_store()
         self._build_upstreams()
@@ -110,7 +110,7 @@
         )
 
     async def on_drain(self) -> None:
-        """Hand over what this daemon owns and finish what is being served."""
+        """Hand over batches and duties, and finish the running requests."""
         self.activity.draining = True
         self.activity.ready = False
         began = self.clock.elapsed()
@@ -129,7 +129,7 @@
         log.info('Drain ended.', cut=self.activity.serving)
 
     async def on_stop(self) -> None:
-        """Close everything that the daemon opened, however far it got."""
+        """Close everything that was opened, also after a partial start."""
         await self.lifecycle.stop()
         self.peers.stop()
         for listener in self._listeners.values():
@@ -281,7 +281,7 @@
         self.routes.on_manifest(self.on_manifest)
 
     def on_operator_rows(self, rows: list[Row]) -> None:
-        """Take what operators and trainers wrote."""
+        """Apply changed rows of operators and trainers."""
         documents = self._deployment.documents
         for row in rows:
             if row.key.startswith(documents.evacuation_prefix):
@@ -294,7 +294,7 @@
                 self._on_version_row(row)
 
     def on_manifest(self, manifest: RoutingManifest) -> None:
-        """Take a manifest that came into force."""
+        """Apply a newly effective manifest."""
         apply_limits(self._gateway, manifest.limits)
 
     def _on_manifest_row(self, row: Row) -> None:
--- a/quetzalcourse/slot_components.py
+++ b/quetzalcourse/slot_components.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon that hand out slots, built and ended together."""
+"""Builds and runs the components that admit requests to slots."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class SlotComponents:
-    """Admission with its policy, their messages and the watch on engines.
+    """Admission, its distributed policy and the load monitor of engines.
 
-    :param members: daemons that are live.
-    :param peers: messages to them.
-    :param session: connections to the engines, for their reports.
+    :param members: live daemons.
+    :param peers: sends messages to them.
+    :param session: connections to the engines, for their load reports.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Build the parts."""
+        """Build the components and connect them."""
         self._members = members
         self._link = PeerSlotLink(peers, counters)
         self._policy = DistributedSlotPolicy(members, self._link, clock)
@@ -57,19 +57,19 @@
         members.on_change(self._on_members)
 
     def on_start(self) -> None:
-        """Begin to renew allowances and to watch the engines."""
+        """Start the renewal of slot grants and the monitoring of engines."""
         self._policy.on_start()
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._load_monitor.run())
 
     def on_manifest(self, manifest: Manifest) -> None:
-        """Take the upstreams and accounts that came into force."""
+        """Apply the upstreams and accounts of a newly effective manifest."""
         self._link.on_manifest(manifest)
         self._load_monitor.on_manifest(manifest)
         self.admission.on_manifest(manifest)
 
     async def on_stop(self) -> None:
-        """End every task."""
+        """Cancel all tasks."""
         self.admission.on_stop()
         await self._policy.on_stop()
         if self._task is not None:
--- a/quetzalcourse/tests/daemon_tests.py
+++ b/quetzalcourse/tests/daemon_tests.py
@@ -216,4 +216,4 @@
     await asyncio.sleep(0.5)
     daemon.send_signal(signal.SIGTERM)
     assert await daemon.wait() == 0
-    assert any('Reload was asked for.' in line for line in daemon.lines)
+    assert any('Reload signal received.' in line for line in daemon.lines)
--- a/quetzalcourse/tests/library_log_tests.py
+++ b/quetzalcourse/tests/library_log_tests.py
@@ -43,7 +43,7 @@
     captured = capsys.readouterr()
     line = json.loads(captured.out)
     assert captured.err == ''
-    assert line['event'] == 'Library reports.'
+    assert line['event'] == 'Library log record.'
     assert line['error'] == 'ConnectionResetError'
     assert line['place'].startswith('library_log_tests.py:')
     assert len(line['report']) == MAX_MESSAGE_LENGTH
--- a/quetzalcourse/upstream_components.py
+++ b/quetzalcourse/upstream_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that know the upstreams and which may be used."""
+"""Builds the components that track upstreams and their availability."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamComponents:
-    """The upstreams, their entries and the operators' evacuations."""
+    """Pool of upstreams, their registrations and evacuations."""
 
     pool: Pool
     registrations: Registrations
@@ -40,7 +40,7 @@
     clock: Clock,
     counters: Counters,
 ) -> UpstreamComponents:
-    """Build the parts and connect them."""
+    """Build the components and connect them."""
     pool = Pool(settings.data_centre, clock, counters, settings.regions)
     residency = Residency(settings.regions, routes)
     feeds.relay_peers.restrict(partial(residency.may_relay, feeds.presence.own))
@@ -60,7 +60,7 @@
     routes: RouteTable,
     clock: Clock,
 ) -> None:
-    """Limit the requests to cold upstreams from now on."""
+    """Limit the rate of requests to cold upstreams from now on."""
     limiter = ColdStartLimiter(
         settings.cold_start, feeds.presence, coordinators, clock
     )
--- a/quetzalcourse/weight_components.py
+++ b/quetzalcourse/weight_components.py
@@ -1,4 +1,4 @@
-"""The parts that bring new weights onto engines, built and wired."""
+"""Builds the components that roll new weights out to engines."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
 
 
 class WeightPlatform(Table, WeightStore, Protocol):
-    """Services of the platform that waves need."""
+    """Services of the platform that rolling weight updates need."""
 
 
 def build_engine_lease_key(data_centre: str) -> str:
-    """Name the lease on orders to the engines of a data centre."""
+    """Build the key of the lease on orders to a data centre's engines."""
     return f'lease/engines/{data_centre}'
 
 
 @dataclass(frozen=True, slots=True)
 class WeightComponents:
-    """The data centre's lease on its engines, and the waves under it."""
+    """Lease on the engines of a data centre and their weight updates."""
 
     elector: LeaderElector
     waves: WaveRunner
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run everything for as long as the daemon does."""
+        """Run the components in the background."""
         lifecycle.run(self.elector.lease.key, self.elector.run)
         lifecycle.run('waves', self.waves.run)
         lifecycle.on_drain(self.on_drain)
         lifecycle.on_stop(self.on_drain)
 
     def describe(self) -> dict[str, Any]:
-        """Tell who orders, and how far the newest versions are."""
+        """Return the lease's state and the progress of each model's update."""
         lease = self.elector.lease.describe()
         waves = {
             model: asdict(status)
@@ -62,7 +62,7 @@
         return {'lease': asdict(lease), 'waves': waves}
 
     async def on_drain(self) -> None:
-        """Give the lease up once no order is on its way any more."""
+        """Release the lease once no order is in flight."""
         self.elector.stop_renewing()
         await self.waves.finish()
         await self.elector.release()
@@ -77,10 +77,10 @@
     clock: Clock,
     counters: Counters,
 ) -> WeightComponents:
-    """Build the parts and connect them.
+    """Build the components and connect them.
 
-    :param platform: keeps the lease and tells the published versions.
-    :param find_report: tells an engine's last report, if it is recent.
+    :param platform: stores the lease and lists the published versions.
+    :param find_report: returns the last report of an engine if it is recent.
     """
     incarnation = members.own.incarnation
     data_centre = settings.data_centre
