--- a/quetzalcourse/platform/__init__.py
+++ b/quetzalcourse/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the platform that the daemons run on; it only translates."""
+"""Adapter between the platform's wire formats and the project's types."""
--- a/quetzalcourse/platform/callers.py
+++ b/quetzalcourse/platform/callers.py
@@ -1,4 +1,4 @@
-"""How the platform's clients speak to a daemon."""
+"""Wire format between the platform's clients and a daemon."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 RESULTS_PATH = '/quetzalcourse/lots/'
 ITEMS_PATH = '/quetzalcourse/items/'
 READY_PATH = '/quetzalcourse/ready'
-# The client's estimate of an item's output tokens; `X-Token-Counts` gives no
-# more than their maximum.
+# Carries the client's estimate of an item's output tokens, of which
+# `X-Token-Counts` gives only the maximum.
 LENGTH_HINT_HEADER = 'x-length-hint'
-# An answer holds 1 MB of results at most; escaping may double a text.
+# A response holds at most 1 MB of results; escaping may double their texts.
 MAX_PAGE_BYTES = 1_000_000
 
 
 class ScorerMessage(msgspec.Struct):
-    """Request that scores the text of an item."""
+    """Call that scores the text of an item."""
 
     id: str
     hostname: str
@@ -36,7 +36,7 @@
 
 
 class ItemMessage(msgspec.Struct):
-    """An item; ``tokens`` counts its prompt and the most of its output."""
+    """An item; ``tokens`` is its prompt plus the maximum of its output."""
 
     id: str
     path: str
@@ -58,7 +58,7 @@
 
 
 class ResultMessage(msgspec.Struct, omit_defaults=True):
-    """Result of an item; without ``score`` where nothing scored it."""
+    """Result of an item; ``score`` is omitted if it was not scored."""
 
     id: str
     state: str
@@ -68,7 +68,7 @@
 
 
 class PageMessage(msgspec.Struct):
-    """Results; ``next`` is the position behind the last of them."""
+    """Page of results; ``next`` is the position after the last one."""
 
     total: int
     next: int
@@ -76,7 +76,7 @@
 
 
 def read_milliseconds(text: str) -> timedelta | None:
-    """Read a duration that a header gives, ``None`` if it gives none."""
+    """Parse a header's duration, ``None`` if it is missing or invalid."""
     try:
         return timedelta(milliseconds=float(text))
     except (ValueError, OverflowError):
@@ -84,10 +84,10 @@
 
 
 class PlatformCallerDialect:
-    """Reads requests of clients and writes what they alone understand."""
+    """Parses requests of the platform's clients and encodes results."""
 
     def read_terms(self, head: RequestHead) -> CallerMetadata:
-        """Read what every request may say."""
+        """Parse the headers that any request may have."""
         return CallerMetadata(
             request_id=head.find('x-request-id'),
             key=head.find('x-key'),
@@ -96,7 +96,7 @@
         )
 
     def read_call(self, head: RequestHead) -> BatchCall | None:
-        """Read a call about a batch, ``None`` if it is another request."""
+        """Parse a call on a batch, ``None`` if it is another request."""
         path, _, query = head.target.partition('?')
         fields = parse_qs(query, keep_blank_values=True)
         if path.startswith(RESULTS_PATH):
@@ -119,7 +119,7 @@
         return None
 
     def read_submission(self, body: bytes) -> Result[Submission, str]:
-        """Read a batch that is submitted."""
+        """Parse a batch submission."""
         try:
             message = msgspec.json.decode(body, type=BatchMessage)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -148,7 +148,7 @@
         )
 
     def write_page(self, page: ResultPage) -> bytes:
-        """Write results for the client, at least one and at most 1 MB."""
+        """Encode at least one result and at most 1 MB of them."""
         messages: list[ResultMessage] = []
         size = 0
         for result in page.results:
--- a/quetzalcourse/platform/deployment.py
+++ b/quetzalcourse/platform/deployment.py
@@ -1,4 +1,4 @@
-"""The platform, as a daemon uses it."""
+"""Implements the interfaces to the platform for a daemon."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformStore:
-    """The store in its three uses."""
+    """Store client in its three roles: rows, change feed and clock."""
 
     table: StoreClient
     feed: StoreClient
@@ -33,7 +33,7 @@
 
 
 class PlatformDocuments:
-    """Rows that others write into the store."""
+    """Format of rows that operators, trainers and servers write."""
 
     operator_table = documents.OPERATOR_TABLE
     upstream_table = documents.SERVERS_TABLE
@@ -42,7 +42,7 @@
     evacuation_prefix = documents.EVACUATION_PREFIX
 
     def read_manifest(self, content: bytes) -> Result[RoutingManifest, str]:
-        """Read a desired state."""
+        """Parse a desired state."""
         return documents.read_manifest(content)
 
     def read_member(
@@ -50,22 +50,22 @@
         name: str,
         content: bytes,
     ) -> Result[PoolMember, str]:
-        """Read the entry of a server."""
+        """Parse the registration of a server."""
         return documents.read_member(name, content)
 
     def read_version(self, content: bytes) -> Result[tuple[str, int], str]:
-        """Read a named version."""
+        """Parse a named version into the model and its version."""
         return documents.read_version(content)
 
 
 class PlatformDeployment:
-    """Opens what the daemon needs of the platform.
+    """Opens the platform connections of a daemon.
 
-    :param message: the settings file.
+    :param message: parsed settings file.
     """
 
     def __init__(self, message: SettingsMessage) -> None:
-        """Translate the settings."""
+        """Translate the settings without connecting."""
         self.settings = translate_settings(message)
         self.documents = PlatformDocuments()
         self.callers = PlatformCallerDialect()
@@ -82,13 +82,13 @@
         return PlatformStore(client, client, client)
 
     def open_upstream_control(self) -> ServerControl:
-        """Open connections for orders to servers."""
+        """Open connections for load orders to servers."""
         control = ServerControl()
         self._connections.append(control)
         return control
 
     def open_usage_reports(self) -> UsageReportClient:
-        """Open connections for reports of usage."""
+        """Open connections for usage reports."""
         channel = Channel(self._message.cloud.address)
         self._connections.append(channel)
         return UsageReportClient(channel, self.settings.vm)
--- a/quetzalcourse/platform/documents.py
+++ b/quetzalcourse/platform/documents.py
@@ -1,4 +1,4 @@
-"""What the operator and the servers write into the platform's store."""
+"""Rows that operators, trainers and servers write into the store."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 class SplitMessage(msgspec.Struct):
-    """One of the services that share a route."""
+    """Weight of one of the services that share a route."""
 
     service: str
     weight: int
 
 
 class RouteMessage(msgspec.Struct):
-    """A route; ``target_latency_ms`` is when an answer is on time.
+    """A route; a response within ``target_latency_ms`` is on time.
 
-    ``traffic_split`` stands in place of ``service`` where several share it.
+    ``traffic_split`` replaces ``service`` if several services share it.
     """
 
     name: str
@@ -69,19 +69,19 @@
 
 
 class ModelMessage(msgspec.Struct):
-    """A model that a service's servers hold."""
+    """A model that the servers of a service load."""
 
     name: str
 
 
 class EngineMessage(msgspec.Struct):
-    """What the servers of a service are as model engines."""
+    """Model engine settings of a service's servers."""
 
     models: list[ModelMessage] = []
 
 
 class ScalingMessage(msgspec.Struct):
-    """Range in which servers may be ordered, for each zone."""
+    """Range for the number of servers in each zone."""
 
     min: int
     max: int
@@ -91,8 +91,8 @@
 class ServiceMessage(msgspec.Struct):
     """A service.
 
-    ``cold_per_s`` is what a server bears for ``cold_start_s`` after its
-    start; 0 is no limit.
+    A server takes ``cold_per_s`` requests a second at most for
+    ``cold_start_s`` after its start; 0 means no limit.
     """
 
     name: str
@@ -103,7 +103,7 @@
 
 
 class LimitsMessage(msgspec.Struct):
-    """What clients may send, in bytes and milliseconds."""
+    """Limits on client requests, in bytes and milliseconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 33554432
@@ -112,7 +112,7 @@
 
 
 class TenantMessage(msgspec.Struct):
-    """A tenant and the keys that it may use."""
+    """A tenant and its API keys."""
 
     name: str
     api_keys: list[str] = []
@@ -121,7 +121,7 @@
 
 
 class ConfigMessage(msgspec.Struct):
-    """The newest desired state, in full."""
+    """Complete desired state of the latest version."""
 
     version: int
     routes: list[RouteMessage] = []
@@ -131,17 +131,17 @@
 
 
 class ServerModelMessage(msgspec.Struct):
-    """Weights of one model at a server."""
+    """Weight version of one model on a server."""
 
     name: str
     version: int
 
 
 class ServerMessage(msgspec.Struct):
-    """Entry of a server.
+    """Registration of a server.
 
-    ``born`` is when its run began. The ``seq`` of an entry counts how often
-    it was written, not the orders that ``seq`` of a report counts.
+    ``born`` is the start time of its run. The ``seq`` of a registration
+    counts its writes, whereas ``seq`` of a report counts accepted orders.
     """
 
     service: str
@@ -157,14 +157,14 @@
 
 
 class VersionMessage(msgspec.Struct):
-    """A version of weights that a trainer named."""
+    """Weight version that a trainer wants loaded."""
 
     model: str
     version: int
 
 
 def read_manifest(content: bytes) -> Result[RoutingManifest, str]:
-    """Read a desired state."""
+    """Parse a desired state."""
     try:
         message = msgspec.json.decode(content, type=ConfigMessage)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -187,7 +187,7 @@
 
 
 def read_member(name: str, content: bytes) -> Result[PoolMember, str]:
-    """Read the entry of a server."""
+    """Parse the registration of a server."""
     try:
         message = msgspec.json.decode(content, type=ServerMessage)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -213,7 +213,7 @@
 
 
 def read_version(content: bytes) -> Result[tuple[str, int], str]:
-    """Read a named version.
+    """Parse a named version.
 
     :returns: the model and its version.
     """
@@ -289,5 +289,5 @@
 
 
 def _read_regions(names: list[str]) -> AllowedRegions:
-    """Read a list of regions; an empty one binds to none."""
+    """Parse a list of regions; an empty one allows all."""
     return frozenset(names) or None
--- a/quetzalcourse/platform/duties.py
+++ b/quetzalcourse/platform/duties.py
@@ -1,4 +1,4 @@
-"""Orders to servers and the calls that are duties of one daemon."""
+"""Clients for orders to servers and for usage reports."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from quetzalcourse.coordination.versions.load_controller import LoadOrder
 
 OK = 200
-# A server that takes longer may act later; the lease ends after that.
+# A server may act on an order that times out; the lease outlasts the timeout.
 ORDER_TIMEOUT_SECONDS = 0.6
 REPORT_TIMEOUT_SECONDS = 0.6
 USAGE_TIMEOUT_SECONDS = 0.6
@@ -38,7 +38,7 @@
 
 
 class OrderMessage(msgspec.Struct):
-    """Order to a server; ``expected`` is the ``seq`` that it must have."""
+    """Order to a server; ``expected`` is the ``seq`` it must be at."""
 
     operation: str
     model: str
@@ -50,14 +50,14 @@
 
 
 class ModelMessage(msgspec.Struct):
-    """Weights of one model at a server."""
+    """Weight version of one model on a server."""
 
     name: str
     version: int
 
 
 class ReportMessage(msgspec.Struct):
-    """State of a server; ``seq`` counts the orders that it accepted."""
+    """State of a server; ``seq`` counts its accepted orders."""
 
     models: list[ModelMessage] = []
     busy: bool = False
@@ -65,21 +65,21 @@
 
 
 class UsageMessage(msgspec.Struct):
-    """Usage of one window."""
+    """Usage counts of one window."""
 
     window: int
     counts: dict[str, int]
 
 
 class ServerControl:
-    """Gives orders to servers."""
+    """Sends orders to servers and reads their state."""
 
     def __init__(self) -> None:
-        """Begin without connections."""
+        """Start without connections."""
         self._channels: dict[str, Channel] = {}
 
     async def order(self, upstream: Upstream, order: LoadOrder) -> OrderOutcome:
-        """Order a server to load a version."""
+        """Order a server to load a weight version."""
         message = OrderMessage(
             operation='version',
             model=order.load.model,
@@ -105,7 +105,7 @@
         )
 
     async def report(self, upstream: Upstream) -> UpstreamReport | None:
-        """Ask a server about itself."""
+        """Query the state of a server."""
         answer = await self._get_channel(upstream).request(
             'GET',
             '/quetzalcourse/report',
@@ -119,7 +119,7 @@
                 answer.ok_value.content, type=ReportMessage
             )
         except msgspec.DecodeError:
-            log.warning('Report is malformed.', upstream=upstream.name)
+            log.warning('Server report is malformed.', upstream=upstream.name)
             return None
         versions = {model.name: model.version for model in message.models}
         return UpstreamReport(versions, message.seq, message.busy)
@@ -139,16 +139,19 @@
 class UsageReportClient:
     """Reports usage to the platform.
 
-    :param holder: name of this machine.
+    :param holder: name of this machine, sent with the fencing token.
     """
 
     def __init__(self, channel: Channel, holder: str) -> None:
-        """Keep the connections."""
+        """Store the connections."""
         self._channel = channel
         self._holder = holder
 
     async def send(self, report: WindowReport, token: int) -> bool:
-        """Send the report of a window."""
+        """Send the usage report of a window.
+
+        :returns: whether the platform accepted it.
+        """
         message = UsageMessage(report.number, report.counts)
         answer = await self._channel.request(
             'POST',
--- a/quetzalcourse/platform/settings.py
+++ b/quetzalcourse/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings file as the platform writes it."""
+"""Settings file that the platform writes."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 )
 
 FILE_VARIABLE = 'QUETZALCOURSE_NODE_FILE'
-# The port that ``deploy/system.toml`` names for metrics; the settings file
-# names none, but a second daemon on one IP number needs another.
+# Port for metrics in ``deploy/system.toml``. The platform's settings file has
+# none, but a second daemon on the same IP address needs another.
 METRICS_PORT = 9464
 
 
 class ListenMessage(msgspec.Struct):
-    """Addresses; ``front`` is where clients connect."""
+    """Listen addresses; ``front`` is for clients."""
 
     front: str
     ready: str
 
 
 class BoundsMessage(msgspec.Struct):
-    """Bounds of the deployment; each name ends with its unit."""
+    """Limits of the deployment; each name ends with its unit."""
 
     grace_s: float = 8
     lease_ms: float = 3000
@@ -45,30 +45,30 @@
 
 
 class LimitsMessage(msgspec.Struct):
-    """What a process may use; ``cpu_share`` is of a core ``cores`` fast."""
+    """CPU limits; ``cpu_share`` is the share of a core of speed ``cores``."""
 
     cpu_share: float = 1
     cores: float = 1
 
 
 class StoreMessage(msgspec.Struct):
-    """The store: where it is and how large a row may be."""
+    """Address of the store and its maximum row size."""
 
     address: str
     row_bytes: int = 65536
 
 
 class CloudMessage(msgspec.Struct):
-    """The interface that takes duty calls."""
+    """Address of the API that takes the calls of duties."""
 
     address: str = ''
     duties: list[str] = []
 
 
 class SettingsMessage(msgspec.Struct):
-    """The fields of the settings that the adapter reads.
+    """Fields of the settings that the adapter reads.
 
-    ``zones`` names the region of each zone.
+    ``zones`` maps each zone to its region.
     """
 
     node_name: str
@@ -85,15 +85,15 @@
 
 
 def find_file() -> Path | None:
-    """Find the settings file, ``None`` outside the platform."""
+    """Find the settings file, ``None`` outside a platform."""
     named = os.environ.get(FILE_VARIABLE)
     return Path(named) if named else None
 
 
 def load_file(path: Path) -> Result[SettingsMessage, str]:
-    """Read and check the settings file.
+    """Read and validate the settings file.
 
-    :returns: the fields, or what is wrong with them.
+    :returns: the fields, or the first error.
     """
     try:
         return Ok(msgspec.json.decode(path.read_bytes(), type=SettingsMessage))
@@ -102,7 +102,7 @@
 
 
 def translate_settings(message: SettingsMessage) -> RolloutSettings:
-    """Put the platform's settings into the daemon's terms."""
+    """Translate the platform's settings into those of the daemon."""
     bounds = message.bounds
     peers = f'{message.ip}:{message.internal_ports[0]}'
     return RolloutSettings(
@@ -131,11 +131,11 @@
 
 
 def derive_secret(message: SettingsMessage) -> bytes:
-    """Derive what the daemons of one deployment share.
+    """Derive the secret that the daemons of one deployment share.
 
-    It keeps apart deployments whose daemons reach each other by mistake.
-    Duties are called at one address by all daemons; the store may be reached
-    by a way of their own.
+    It keeps deployments apart whose daemons reach each other by mistake. All
+    daemons call the duties at the same address, whereas each may have an
+    address of its own for the store.
     """
     shared = message.cloud.address or message.platform.address
     return hashlib.sha256(shared.encode()).digest()
--- a/quetzalcourse/platform/store.py
+++ b/quetzalcourse/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 CONFLICT = 412
 SERVER_ERROR = 500
 BUSY = 503
-# A slow store takes some 300 ms for a write; one that takes longer than
-# this has lost the answer.
+# A slow store takes some 300 ms for a write; after this time the response
+# counts as lost.
 CALL_TIMEOUT_SECONDS = 1.5
 FOLLOW_SLACK_SECONDS = 0.8
-# An answer that was slow on its way makes the store's clock look late by as
-# much; the best of the last ten seconds is off by a few milliseconds.
+# A delayed response makes the store's clock seem late by its delay. The best
+# sample of the last ten seconds is off by a few milliseconds.
 CLOCK_SAMPLE_MAX_AGE = timedelta(seconds=10)
-# Rows of one answer, the most that the store returns.
+# Most rows that the store returns in one response.
 PAGE_ROWS = 500
 
 
 class RowMessage(msgspec.Struct, omit_defaults=True):
-    """A row on the wire; ``ver`` comes from one counter of the store."""
+    """A row; ``ver`` comes from a counter common to the whole store."""
 
     table: str
     part: str
@@ -51,7 +51,7 @@
 
 
 class ExpectedMessage(msgspec.Struct):
-    """A row that must have a version; 0 means that it must not exist."""
+    """Version that a row must have; 0 means that it must not exist."""
 
     table: str
     part: str
@@ -60,7 +60,7 @@
 
 
 class TransactionMessage(msgspec.Struct):
-    """Changes that are applied together; ``remove`` names rows to drop."""
+    """Atomic changes; ``remove`` lists rows to delete."""
 
     expected: list[ExpectedMessage]
     writes: list[RowMessage]
@@ -68,9 +68,9 @@
 
 
 class AnswerMessage(msgspec.Struct):
-    """Answer to any call about rows.
+    """Response to any call on rows.
 
-    ``ver`` is the store's newest version, ``now_ms`` its steady clock.
+    ``ver`` is the store's latest version, ``now_ms`` its monotonic clock.
     """
 
     ver: int = 0
@@ -87,7 +87,7 @@
 
 
 def read_row(message: RowMessage) -> Row:
-    """Read a row from the wire."""
+    """Convert a row from its wire format."""
     return Row(
         f'{message.table}/{message.part}/{message.key}',
         message.value,
@@ -97,7 +97,7 @@
 
 
 class StoreClient:
-    """Reads, writes and follows rows.
+    """Reads, writes and follows rows, and estimates the store's clock.
 
     :param channel: connections to the store.
     """
@@ -108,7 +108,7 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Begin without an answer from the store."""
+        """Start without a sample of the store's clock."""
         self._channel = channel
         self._clock = clock
         self._counters = counters
@@ -116,7 +116,7 @@
         self._clock_offset_at = timedelta(0)
 
     def estimate(self) -> timedelta | None:
-        """Estimate the store's steady clock."""
+        """Estimate the store's monotonic clock, ``None`` before a sample."""
         if self._clock_offset is None:
             return None
         return self._clock.elapsed() + self._clock_offset
@@ -139,7 +139,7 @@
         after: str = '',
         limit: int = PAGE_ROWS,
     ) -> Result[list[Row], StoreFault]:
-        """Read rows of one part in the order of their keys.
+        """Read rows of one part in key order.
 
         :param prefix: ``TABLE/PART/``.
         """
@@ -162,7 +162,7 @@
         self,
         transaction: Transaction,
     ) -> Result[TransactionResult, StoreFault]:
-        """Write rows of one part together if every condition holds."""
+        """Write rows of one part atomically if every condition holds."""
         body = msgspec.json.encode(pack_transaction(transaction))
         answer = await self._call('POST', '/quetzalcourse/rows-tx', body)
         if isinstance(answer, Err):
@@ -215,7 +215,7 @@
         version: int,
         wait: timedelta,
     ) -> Result[RowChanges, StoreFault]:
-        """Wait for the changes behind a version."""
+        """Wait for the changes after a version."""
         milliseconds = int(wait.total_seconds() * 1000)
         answer = await self._get(
             'rows-feed',
@@ -277,7 +277,7 @@
         return Ok((answer.status, message))
 
     def on_clock(self, store_now: timedelta) -> None:
-        """Learn the store's time from an answer that has just arrived."""
+        """Update the clock estimate from a response that has just arrived."""
         now = self._clock.elapsed()
         offset = store_now - now
         previous = self._clock_offset
@@ -299,7 +299,7 @@
 
 
 def pack_transaction(transaction: Transaction) -> TransactionMessage:
-    """Write a transaction for the wire."""
+    """Convert a transaction to its wire format."""
     expected = [
         ExpectedMessage(*split_key(condition.key), condition.version)
         for condition in transaction.conditions
--- a/quetzalcourse/platform/upstreams.py
+++ b/quetzalcourse/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""How the platform's servers are spoken to."""
+"""Wire format between a daemon and the platform's servers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 MISDIRECTED_REQUEST = 421
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
-# What the system sets itself, or must not pass on.
+# Headers that the daemon sets itself, or must not forward.
 RESERVED_HEADERS = frozenset(
     (
         'content-length',
@@ -35,14 +35,14 @@
 
 
 class PlatformUpstreamDialect:
-    """Writes requests for servers and reads their answers."""
+    """Encodes requests to servers and parses their responses."""
 
     def write_request(
         self,
         head: RequestHead,
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of a client's request for a server."""
+        """Build the headers of a client's request to a server."""
         dropped = HOP_BY_HOP | RESERVED_HEADERS | list_named(head.headers)
         kept = [pair for pair in head.headers if pair[0] not in dropped]
         return kept + _write_metadata(terms)
@@ -53,7 +53,7 @@
         host: str,
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of an item's request for a server."""
+        """Build the headers of an item's request to a server."""
         reserved = RESERVED_HEADERS | HOP_BY_HOP | {'host', 'x-request-id'}
         kept = [
             pair
@@ -68,7 +68,7 @@
         call: ScoringCall,
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of a scoring call for a server."""
+        """Build the headers of a scoring call to a server."""
         headers = [('Host', call.host), ('X-Request-Id', call.id)]
         return headers + _write_metadata(terms)
 
@@ -78,7 +78,7 @@
         status: int,
         headers: Mapping[str, str],
     ) -> ResponseMetadata:
-        """Read the head of a server's answer."""
+        """Parse the status and headers of a server's response."""
         load = read_load(headers.get('X-Server-Load', ''))
         answered = headers.get('X-Request-Id', '')
         refused = 'X-Not-Executed' in headers or status == MISDIRECTED_REQUEST
@@ -98,7 +98,7 @@
         return ResponseMetadata(ResponseOutcome.unfinished, load)
 
     def read_event(self, frame: bytes) -> StreamEvent | None:
-        """Read one event of a stream, ``None`` if it can't be one."""
+        """Parse one event of a stream, ``None`` if it is malformed."""
         number = -1
         version = 0
         text: list[str] = []
@@ -121,7 +121,10 @@
 
 
 def read_load(text: str) -> LoadReport | None:
-    """Read a load as a server tells it: running, waiting and slots."""
+    """Parse a server's load, ``None`` if it is malformed.
+
+    :param text: running requests, queued requests and slots.
+    """
     figures = text.split(',')
     try:
         running, waiting, slots = (int(figure) for figure in figures)
