--- a/quetzalcourse/tests/platform/store_tests.py
+++ b/quetzalcourse/tests/platform/store_tests.py
@@ -1,4 +1,4 @@
-"""The store's client against a store that fails in each of its ways."""
+"""Tests of the store client, with each failure mode of the store."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class StoreWorld:
-    """A store, a way to it that can be harmed, and a client."""
+    """A store, a fault-injecting proxy to it, and a client."""
 
     store: StoreStandin
     door: StoreDoor
@@ -68,7 +68,7 @@
 async def test_row_is_written_once_under_its_condition(
     world: StoreWorld,
 ) -> None:
-    """The second writer learns what stands there instead."""
+    """The second writer gets the conflicting row."""
     first = (await world.client.transact(CREATE)).unwrap()
     second = (await world.client.transact(CREATE)).unwrap()
     assert first.applied
@@ -79,8 +79,10 @@
     assert (row.content, row.version) == (b'one', first.version)
 
 
-async def test_parts_and_ranges_are_read_whole(world: StoreWorld) -> None:
-    """More rows than one answer holds come in the order of their keys."""
+async def test_reads_longer_than_one_page_are_complete(
+    world: StoreWorld,
+) -> None:
+    """Rows that exceed one response are read in key order."""
     for begin in range(0, 600, 100):
         writes = tuple(
             Write(f'results/b-1/{number:04d}', b'x')
@@ -97,10 +99,10 @@
     assert (await world.client.list_parts('results')).unwrap() == ['b-1']
 
 
-async def test_changes_come_behind_a_version_with_what_was_removed(
+async def test_follow_returns_changes_and_removals_after_a_version(
     world: StoreWorld,
 ) -> None:
-    """A wait ends with the first change, and without one in time."""
+    """A wait ends at the first change, or at its timeout."""
     written = await world.store.write('servers', 's-1', {})
     await world.store.remove('servers', 's-1')
     found = (await world.client.follow('servers', written - 1, WAIT)).unwrap()
@@ -117,15 +119,15 @@
         ('silent', FaultKind.unanswered, FaultKind.unanswered),
     ],
 )
-async def test_each_way_to_fail_is_told_truly(
+async def test_failure_mode_maps_to_its_fault_kind(
     world: StoreWorld,
     mode: str,
     read_kind: FaultKind,
     write_kind: FaultKind,
 ) -> None:
-    # The store refuses, resets its channels or falls silent. A write that
-    # was refused may be told as not applied; of the others nothing is known,
-    # and calling them so would break the promise of a refused batch.
+    # The store refuses, resets its connections or stops responding. Only a
+    # refused write may count as not applied. The outcome of the others is
+    # unknown, and a refused batch guarantees that nothing was applied.
     world.door.faults.mode = mode
     async with asyncio.timeout(CALL_TIMEOUT_SECONDS * 2 + 1):
         read = await world.client.read(KEY)
@@ -140,12 +142,12 @@
 
 
 @pytest.mark.parametrize('late', [0, 0.3])
-async def test_lost_answer_may_have_taken_effect(
+async def test_lost_response_to_a_write_counts_as_unanswered(
     world: StoreWorld,
     late: float,
 ) -> None:
-    # The answer to a write is lost, and the write takes effect at once or
-    # later. The client must not say that it did not.
+    # The response to a write is lost, and the write takes effect at once or
+    # later. The client must not report it as not applied.
     world.store.faults.lost = 1
     world.store.faults.late = late
     answer = await world.client.transact(CREATE)
@@ -157,9 +159,9 @@
     assert row.content == b'one'
 
 
-async def test_lost_history_is_told(world: StoreWorld) -> None:
-    # The store drops its history sooner than it promised. Whoever went on
-    # behind the old version would miss what changed in between.
+async def test_lost_history_is_reported(world: StoreWorld) -> None:
+    # The store drops its history earlier than agreed. A follower that
+    # continued from the old version would miss the changes in between.
     version = await world.store.write('op', 'config', {})
     await world.store.write('op', 'config', {})
     world.store.forget_history()
@@ -179,12 +181,12 @@
         (200, b'{"rows": 7}', FaultKind.unanswered),
     ],
 )
-async def test_refused_and_garbled_answers_are_told_apart(
+async def test_refused_and_garbled_responses_differ_in_fault_kind(
     status: int,
     body: bytes,
     kind: FaultKind,
 ) -> None:
-    """What can't be read may have been applied; a refusal was not."""
+    """A garbled response may be of an applied write, a refusal is not."""
 
     async def serve(request: Request, _: RequestHead) -> None:
         await request.receive_body()
@@ -201,9 +203,9 @@
     assert answer.err_value.kind is kind
 
 
-async def test_clock_of_the_store_is_not_held_back_by_slow_answers() -> None:
-    # One answer takes 1.5 seconds on its way. A clock that followed it would
-    # be late by as much, and batches would seem to have that much more time.
+async def test_delayed_response_does_not_set_the_store_clock_back() -> None:
+    # One response is delayed by 1.5 seconds. An estimate that followed it
+    # would be late by as much and extend the deadlines of batches.
     clock = FakeClock()
     channel = Channel('127.0.0.1:1')
     client = StoreClient(channel, clock, Counters())
--- a/quetzalcourse/tests/platform/submissions_tests.py
+++ b/quetzalcourse/tests/platform/submissions_tests.py
@@ -1,4 +1,4 @@
-"""What the adapter reads from a submission, and writes of its results."""
+"""Tests of parsing batch submissions and encoding their results."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 def read(**fields: Any) -> Submission:
-    """Read a submission of one item."""
+    """Parse a submission of one item."""
     item = {'id': 'i-1', 'path': '/drill/1'} | fields
     body = json.dumps({'requests': [item]}).encode()
     return CALLERS.read_submission(body).unwrap()
 
 
 def test_scorer_becomes_a_scoring_call() -> None:
-    """Its body is decoded; an item without one has no call."""
+    """The scorer's body is decoded; items without a scorer have no call."""
     call = read(scorer=SCORER).items[0].scoring
     assert call == ScoringCall('c-1', 'verse.example', '/score/7', b'text')
     assert read().items[0].scoring is None
@@ -42,8 +42,8 @@
 
 @pytest.mark.parametrize('missing', ['id', 'hostname', 'path'])
 def test_scorer_that_lacks_a_field_is_refused(missing: str) -> None:
-    # A trainer's client is broken. Accepted, its items could never be
-    # completed, and it would wait for them until they are given up.
+    # A faulty client omits a field of the scorer. If accepted, its items
+    # could never complete, and it would wait until they are abandoned.
     scorer = {name: SCORER[name] for name in SCORER if name != missing}
     body = {'requests': [{'id': 'i', 'path': '/', 'scorer': scorer}]}
     assert CALLERS.read_submission(json.dumps(body).encode()).is_err()
@@ -65,14 +65,14 @@
     headers: dict[str, str],
     estimate: int,
 ) -> None:
-    """One that is no number says nothing; the header is passed on."""
+    """A hint that is not a number is ignored; the header is forwarded."""
     item = read(headers=headers).items[0]
     assert item.length_estimate == estimate
     assert item.headers == headers
 
 
-def test_score_is_written_only_where_there_is_one() -> None:
-    """Clients that asked for none see results as they always were."""
+def test_score_is_written_only_for_scored_items() -> None:
+    """Results of unscored items have no such field."""
     results = (
         ItemResult('a', ResultState.completed, 'text', [1], 'stamp'),
         ItemResult('b', ResultState.completed, 'text', [1]),
--- a/quetzalcourse/tests/platform/upstreams_tests.py
+++ b/quetzalcourse/tests/platform/upstreams_tests.py
@@ -1,4 +1,4 @@
-"""What the adapter reads from servers and writes to them."""
+"""Tests of the wire format between daemon, servers and clients."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def build_head(target: str = '/a/', **headers: str) -> RequestHead:
-    """Build a request's head."""
+    """Build the head of a request."""
     pairs = tuple(
         (name.replace('_', '-'), text) for name, text in headers.items()
     )
@@ -64,20 +64,20 @@
         (500, {'X-Request-Id': 'r'}, ResponseOutcome.failed),
     ],
 )
-def test_answers_are_told_apart(
+def test_response_maps_to_its_outcome(
     status: int,
     headers: dict[str, str],
     state: ResponseOutcome,
 ) -> None:
-    # Only an upstream that says so itself did not run a request; taking any
-    # other answer for that would run it twice, and taking another request's
-    # answer would give it to the wrong caller.
+    # Only an explicit response of the upstream proves that a request was not
+    # run. Retrying after any other would run it twice, and accepting the
+    # response to another request would give it to the wrong caller.
     assert UPSTREAMS.read_answer('r', status, headers).state is state
 
 
-def test_key_and_hop_by_hop_headers_stay_here() -> None:
-    # A key in an upstream's logs could be used by whoever reads them, and
-    # an account that a caller names itself would be billed.
+def test_key_and_hop_by_hop_headers_are_not_forwarded() -> None:
+    # Anyone who reads an upstream's logs could use a forwarded key, and an
+    # account that a caller sets itself would be billed.
     head = build_head(
         x_key='secret',
         x_tenant='somebody',
@@ -100,7 +100,7 @@
 
 
 def test_item_keeps_its_own_headers() -> None:
-    """The id, the host and the terms are set beside them."""
+    """The id, the host and the request metadata are added to them."""
     item = BatchItem('i', '/a/1', {'X-Model': 'verse', 'Host': 'x'}, b'')
     written = dict(UPSTREAMS.write_item(item, 'verse.example', TERMS))
     assert written['Host'] == 'verse.example'
@@ -119,8 +119,10 @@
         (b'\xff', None),
     ],
 )
-def test_events_are_read(frame: bytes, event: StreamEvent | None) -> None:
-    """What can't be an event is none."""
+def test_stream_event_is_parsed(
+    frame: bytes, event: StreamEvent | None
+) -> None:
+    """Malformed frames are not events."""
     assert UPSTREAMS.read_event(frame) == event
 
 
@@ -133,8 +135,8 @@
         ('a,b,c', None),
     ],
 )
-def test_loads_are_read(text: str, load: LoadReport | None) -> None:
-    """A load that can't be read is none."""
+def test_server_load_is_parsed(text: str, load: LoadReport | None) -> None:
+    """A malformed load is ignored."""
     assert read_load(text) == load
 
 
@@ -147,12 +149,12 @@
         ('GET', '/lots/b', None),
     ],
 )
-def test_calls_about_batches_are_told_apart(
+def test_batch_call_is_recognised_by_method_and_path(
     method: str,
     target: str,
     verb: BatchOperation | None,
 ) -> None:
-    """Other requests are no such calls."""
+    """Requests on other paths are not batch calls."""
     head = RequestHead(method, target, 'verse.example', ())
     call = CALLERS.read_call(head)
     assert (call.verb if call else None) is verb
@@ -162,8 +164,8 @@
 
 
 def test_page_has_at_least_one_result_and_at_most_a_megabyte() -> None:
-    # A caller reads a batch of long texts. A page above the limit is cut by
-    # whoever forwards it, and an empty one would never end.
+    # A caller reads a batch of long texts. A proxy truncates a page above the
+    # limit, and a reader would poll forever if pages were empty.
     results = tuple(
         ItemResult(f'i-{n}', ResultState.completed, 'x' * 300_000, [1])
         for n in range(4)
@@ -175,8 +177,8 @@
     assert b'"next":1' in CALLERS.write_page(ResultPage(1, 0, huge))
 
 
-def test_rows_of_a_transaction_are_named_apart() -> None:
-    """A name within a part may hold slashes."""
+def test_transaction_rows_are_split_into_table_part_and_key() -> None:
+    """A name within a part may contain slashes."""
     assert split_key('op//version/verse') == ('op', '', 'version/verse')
     packed = pack_transaction(
         Transaction(
