--- a/quetzalcourse/feed_parts.py
+++ b/quetzalcourse/feed_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that follow the store and the other daemons."""
+"""Builds the components that follow the store and the other daemons."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     from quetzalcourse.coordination.duties.usage_windows import WindowCounts
     from quetzalcourse.coordination.feeds.wall_clock import WallClockEstimate
     from quetzalcourse.coordination.ports import Peers
-    from quetzalcourse.deployment import Documents, StoreParts
+    from quetzalcourse.deployment import Documents, StoreClients
     from quetzalcourse.lifecycle import Lifecycle
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.members import Member
 
-# Rows of these tables change several times a second; a reader that took
-# each change alone would spend its time on answers of one row. Each daemon
-# writes there, so the pauses grow with the daemons, and the store's reads
-# stay the same: 125 a second of heartbeats and 200 of batches.
+# Rows of these tables change several times a second, and a follower without
+# a pause would spend its time on responses with one row each. Every daemon
+# writes to them, so the pause grows with the number of daemons, which caps
+# the store's reads at 125 a second for heartbeats and 200 for batches.
 HEARTBEAT_READ_PAUSE = timedelta(milliseconds=250)
-HEARTBEAT_READ_PAUSE_EACH = timedelta(milliseconds=8)
-BATCH_PAUSE = timedelta(milliseconds=100)
-BATCH_PAUSE_EACH = timedelta(milliseconds=5)
-# Rows that a daemon may reach by way of another one.
+HEARTBEAT_READ_PAUSE_PER_DAEMON = timedelta(milliseconds=8)
+BATCH_READ_PAUSE = timedelta(milliseconds=100)
+BATCH_READ_PAUSE_PER_DAEMON = timedelta(milliseconds=5)
+# Tables that a daemon may read and write through another one.
 RELAYED_TABLES = (
     batch_rows.TABLE,
     batch_rows.ITEMS,
@@ -45,10 +45,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FeedParts:
-    """What a daemon knows of the store's tables and of the others.
+class FeedComponents:
+    """Table followers, membership and relay of a daemon.
 
-    :param store: rows of batches and members, directly or by others.
+    :param store: rows of batches and members, read and written directly or
+        through another daemon.
     """
 
     operators: TableFollower
@@ -56,22 +57,24 @@
     batches: TableFollower
     members: TableFollower
     presence: presence.Presence
-    reach: StoreReadiness
+    store_readiness: StoreReadiness
     relay: FeedRelay
     store: StoreRelay
-    helpers: RelayPeers
+    relay_peers: RelayPeers
     probes: LivenessProbes
 
     def on_members(self) -> None:
-        """Read less often where there are more daemons."""
+        """Lengthen the read pauses with the number of daemons."""
         count = len(self.presence.records)
         self.members.pause = max(
-            HEARTBEAT_READ_PAUSE, HEARTBEAT_READ_PAUSE_EACH * count
+            HEARTBEAT_READ_PAUSE, HEARTBEAT_READ_PAUSE_PER_DAEMON * count
+        )
+        self.batches.pause = max(
+            BATCH_READ_PAUSE, BATCH_READ_PAUSE_PER_DAEMON * count
         )
-        self.batches.pause = max(BATCH_PAUSE, BATCH_PAUSE_EACH * count)
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run the parts in the background."""
+        """Run the components in the background."""
         lifecycle.run('operator feed', self.operators.run)
         lifecycle.run('upstream feed', self.upstreams.run)
         lifecycle.run('batch feed', self.batches.run)
@@ -81,21 +84,21 @@
         lifecycle.run('liveness probes', self.probes.run)
 
 
-def build_feed_parts(
+def build_feed_components(
     own: Member,
     documents: Documents,
-    store: StoreParts,
+    store: StoreClients,
     peers: Peers,
     counts: WindowCounts,
     wall_clock: WallClockEstimate,
     clock: Clock,
     counters: Counters,
-) -> FeedParts:
-    """Build the parts and connect them.
+) -> FeedComponents:
+    """Build the components and connect them.
 
     :param own: this daemon.
-    :param counts: counts that go with each heartbeat.
-    :param wall_clock: learns how the daemons' calendars differ.
+    :param counts: usage counts that each heartbeat carries.
+    :param wall_clock: learns how the daemons' wall clocks differ.
     """
     operators = TableFollower(
         store.feed,
@@ -111,49 +114,53 @@
         counters,
         single_part=True,
     )
-    helpers = RelayPeers(operators, clock)
-    by_others = StoreRelay(
-        store.table, store.feed, peers, helpers, RELAYED_TABLES, counters
+    relay_peers = RelayPeers(operators, clock)
+    relayed_store = StoreRelay(
+        store.table, store.feed, peers, relay_peers, RELAYED_TABLES, counters
     )
     batches = TableFollower(
-        by_others, batch_rows.TABLE, clock, counters, pause=BATCH_PAUSE
+        relayed_store, batch_rows.TABLE, clock, counters, pause=BATCH_READ_PAUSE
     )
     members = TableFollower(
-        by_others, presence.TABLE, clock, counters, pause=HEARTBEAT_READ_PAUSE
+        relayed_store,
+        presence.TABLE,
+        clock,
+        counters,
+        pause=HEARTBEAT_READ_PAUSE,
     )
     heartbeats = presence.Presence(
         own,
-        by_others,
+        relayed_store,
         members,
         clock,
         counts.describe,
         counts.restore,
         wall_clock,
     )
-    reach = StoreReadiness(operators, heartbeats, clock)
+    store_readiness = StoreReadiness(operators, heartbeats, clock)
     relay = FeedRelay(
         (operators, upstreams),
         peers,
         heartbeats,
-        reach,
-        helpers,
+        store_readiness,
+        relay_peers,
         clock,
         counters,
     )
-    parts = FeedParts(
+    parts = FeedComponents(
         operators,
         upstreams,
         batches,
         members,
         heartbeats,
-        reach,
+        store_readiness,
         relay,
-        by_others,
-        helpers,
+        relayed_store,
+        relay_peers,
         LivenessProbes(
             heartbeats,
             peers,
-            partial(_reaches_store, operators, helpers),
+            partial(_can_reach_store, operators, relay_peers),
             clock,
         ),
     )
@@ -161,6 +168,6 @@
     return parts
 
 
-def _reaches_store(follower: TableFollower, helpers: RelayPeers) -> bool:
-    """Tell whether the store answers, or answers a daemon that helps."""
-    return not follower.store_unavailable or helpers.find() is not None
+def _can_reach_store(follower: TableFollower, relay_peers: RelayPeers) -> bool:
+    """Check whether the store responds, directly or through a relay."""
+    return not follower.store_unavailable or relay_peers.find() is not None
--- a/quetzalcourse/incarnation.py
+++ b/quetzalcourse/incarnation.py
@@ -1,17 +1,17 @@
-"""Names of the runs of a daemon."""
+"""Identifiers of the runs of a daemon."""
 
 from __future__ import annotations
 
 import os
 
-INCARNATION_BYTES = 4
+INCARNATION_SUFFIX_BYTES = 4
 
 
-def name_incarnation(vm: str) -> str:
-    """Name one run of a daemon, different from every run before."""
-    return f'{vm}-{os.urandom(INCARNATION_BYTES).hex()}'
+def generate_incarnation(vm: str) -> str:
+    """Generate a unique id for one run of a daemon."""
+    return f'{vm}-{os.urandom(INCARNATION_SUFFIX_BYTES).hex()}'
 
 
 def read_vm(incarnation: str) -> str:
-    """Tell the VM that a run was on."""
+    """Extract the VM from the id of a run."""
     return incarnation.rpartition('-')[0]
--- a/quetzalcourse/log.py
+++ b/quetzalcourse/log.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences with a fixed prefix for each part."""
+"""Structured logging, with a fixed part name for each component."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-    from quetzalcourse.log_output import LineLimit, LineOutput
+    from quetzalcourse.log_output import LogRateLimiter, NonBlockingOutput
 
 FORMATS = ('console', 'json')
 
@@ -19,22 +19,22 @@
 def configure_log(
     level: str,
     log_format: str,
-    output: TextIO | LineOutput = sys.stderr,
-    limit: LineLimit | None = None,
+    output: TextIO | NonBlockingOutput = sys.stderr,
+    limit: LogRateLimiter | None = None,
     vm: str = '',
 ) -> None:
     """Set up logging for the process.
 
-    :param level: name of the lowest level to show.
+    :param level: name of the lowest level to write.
     :param log_format: one of :data:`FORMATS`.
-    :param output: where lines go.
-    :param limit: bounds the lines of each event.
-    :param vm: named in every line, to tell daemons' lines apart once they
-        are collected.
+    :param output: destination of the lines.
+    :param limit: rate limit for the lines of each event.
+    :param vm: added to every line, to tell the daemons apart in collected
+        logs.
     """
-    bounds: list[Any] = [limit] if limit is not None else []
+    extra_processors: list[Any] = [limit] if limit is not None else []
     if vm:
-        bounds.append(VmName(vm))
+        extra_processors.append(VmNameProcessor(vm))
     renderer: Any = structlog.processors.JSONRenderer()
     if log_format == 'console':
         renderer = structlog.dev.ConsoleRenderer(colors=False)
@@ -42,7 +42,7 @@
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
-            *bounds,
+            *extra_processors,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
             renderer,
         ],
@@ -53,11 +53,11 @@
     )
 
 
-class VmName:
-    """Adds the name of the VM to lines."""
+class VmNameProcessor:
+    """structlog processor that adds the name of the VM to each line."""
 
     def __init__(self, vm: str) -> None:
-        """Keep the name."""
+        """Store the name."""
         self._vm = vm
 
     def __call__(
@@ -72,13 +72,13 @@
 
 
 def bind_log(**names: object) -> None:
-    """Show names in every line that the calling task logs from now on."""
+    """Add fields to every line that the calling task logs from now on."""
     structlog.contextvars.bind_contextvars(**names)
 
 
 def get_log(part: str) -> FilteringBoundLogger:
-    """Get the log of a part.
+    """Return the logger of a component.
 
-    :param part: fixed prefix of its lines.
+    :param part: value of the field ``part`` in its lines.
     """
     return structlog.get_logger(part=part)
--- a/quetzalcourse/platform/duties.py
+++ b/quetzalcourse/platform/duties.py
@@ -1,4 +1,4 @@
-"""Orders to servers and the calls that are duties of one daemon."""
+"""Clients for orders to servers and for usage reports."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from quetzalcourse.coordination.versions.load_controller import LoadOrder
 
 OK = 200
-# A server that takes longer may act later; the lease ends after that.
-ORDER_SECONDS = 0.6
-REPORT_SECONDS = 0.6
-DUTY_SECONDS = 0.6
+# A server may act on an order that times out; the lease outlasts the timeout.
+ORDER_TIMEOUT_SECONDS = 0.6
+REPORT_TIMEOUT_SECONDS = 0.6
+USAGE_TIMEOUT_SECONDS = 0.6
 CALL_HEADERS = {'Content-Type': 'application/json'}
-OUTCOMES: Mapping[int, OrderOutcome] = {
+OUTCOMES_BY_STATUS: Mapping[int, OrderOutcome] = {
     OK: OrderOutcome.holds,
     202: OrderOutcome.accepted,
     409: OrderOutcome.conflict,
@@ -38,7 +38,7 @@
 
 
 class OrderMessage(msgspec.Struct):
-    """Order to a server; ``expected`` is the ``seq`` that it must have."""
+    """Order to a server; ``expected`` is the ``seq`` it must be at."""
 
     operation: str
     model: str
@@ -50,14 +50,14 @@
 
 
 class ModelMessage(msgspec.Struct):
-    """Weights of one model at a server."""
+    """Weight version of one model on a server."""
 
     name: str
     version: int
 
 
 class ReportMessage(msgspec.Struct):
-    """State of a server; ``seq`` counts the orders that it accepted."""
+    """State of a server; ``seq`` counts its accepted orders."""
 
     models: list[ModelMessage] = []
     busy: bool = False
@@ -65,21 +65,21 @@
 
 
 class UsageMessage(msgspec.Struct):
-    """Usage of one window."""
+    """Usage counts of one window."""
 
     window: int
     counts: dict[str, int]
 
 
 class ServerControl:
-    """Gives orders to servers."""
+    """Sends orders to servers and reads their state."""
 
     def __init__(self) -> None:
-        """Begin without connections."""
+        """Start without connections."""
         self._channels: dict[str, Channel] = {}
 
     async def order(self, upstream: Upstream, order: LoadOrder) -> OrderOutcome:
-        """Order a server to load a version."""
+        """Order a server to load a weight version."""
         message = OrderMessage(
             operation='version',
             model=order.load.model,
@@ -89,26 +89,28 @@
             fence_token=order.token,
             expected=order.sequence,
         )
-        answer = await self._find(upstream).request(
+        answer = await self._get_channel(upstream).request(
             'POST',
             '/quetzalcourse/order',
             msgspec.json.encode(message),
-            headers=_expect(upstream) | CALL_HEADERS,
-            seconds=ORDER_SECONDS,
+            headers=_build_instance_headers(upstream) | CALL_HEADERS,
+            seconds=ORDER_TIMEOUT_SECONDS,
         )
         if isinstance(answer, Err):
             if answer.err_value.kind is FaultKind.not_applied:
                 return OrderOutcome.not_sent
             return OrderOutcome.unanswered
-        return OUTCOMES.get(answer.ok_value.status, OrderOutcome.refused)
+        return OUTCOMES_BY_STATUS.get(
+            answer.ok_value.status, OrderOutcome.refused
+        )
 
     async def report(self, upstream: Upstream) -> UpstreamReport | None:
-        """Ask a server about itself."""
-        answer = await self._find(upstream).request(
+        """Query the state of a server."""
+        answer = await self._get_channel(upstream).request(
             'GET',
             '/quetzalcourse/report',
-            headers=_expect(upstream),
-            seconds=REPORT_SECONDS,
+            headers=_build_instance_headers(upstream),
+            seconds=REPORT_TIMEOUT_SECONDS,
         )
         if isinstance(answer, Err) or answer.ok_value.status != OK:
             return None
@@ -117,7 +119,7 @@
                 answer.ok_value.content, type=ReportMessage
             )
         except msgspec.DecodeError:
-            log.warning('Report is malformed.', upstream=upstream.name)
+            log.warning('Server report is malformed.', upstream=upstream.name)
             return None
         versions = {model.name: model.version for model in message.models}
         return UpstreamReport(versions, message.seq, message.busy)
@@ -127,40 +129,43 @@
         for channel in self._channels.values():
             await channel.close()
 
-    def _find(self, upstream: Upstream) -> Channel:
+    def _get_channel(self, upstream: Upstream) -> Channel:
         address = upstream.member.address
         if address not in self._channels:
             self._channels[address] = Channel(address)
         return self._channels[address]
 
 
-class UsageCalls:
+class UsageReportClient:
     """Reports usage to the platform.
 
-    :param holder: name of this machine.
+    :param holder: name of this machine, sent with the fencing token.
     """
 
     def __init__(self, channel: Channel, holder: str) -> None:
-        """Keep the connections."""
+        """Store the connections."""
         self._channel = channel
         self._holder = holder
 
     async def send(self, report: WindowReport, token: int) -> bool:
-        """Send the report of a window."""
+        """Send the usage report of a window.
+
+        :returns: whether the platform accepted it.
+        """
         message = UsageMessage(report.number, report.counts)
         answer = await self._channel.request(
             'POST',
             '/usage',
             msgspec.json.encode(message),
-            headers=CALL_HEADERS | _sign(self._holder, token),
-            seconds=DUTY_SECONDS,
+            headers=CALL_HEADERS | _build_fence_headers(self._holder, token),
+            seconds=USAGE_TIMEOUT_SECONDS,
         )
         return answer.is_ok() and answer.unwrap().status == OK
 
 
-def _expect(upstream: Upstream) -> dict[str, str]:
+def _build_instance_headers(upstream: Upstream) -> dict[str, str]:
     return {'X-Expect-Instance': upstream.name}
 
 
-def _sign(holder: str, token: int) -> dict[str, str]:
+def _build_fence_headers(holder: str, token: int) -> dict[str, str]:
     return {'X-Duty-Holder': holder, 'X-Fence-Token': str(token)}
--- a/quetzalcourse/platform/upstreams.py
+++ b/quetzalcourse/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""How the platform's servers are spoken to."""
+"""Wire format between a daemon and the platform's servers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from quetzalcourse.state.batches import BatchItem, ScoringCall
     from quetzalcourse.state.calls import AttemptMetadata, RequestHead
 
-OK_FIRST = 200
-OK_LAST = 299
-MISDIRECTED = 421
+MIN_OK = 200
+MAX_OK = 299
+MISDIRECTED_REQUEST = 421
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
-# What the system sets itself, or must not pass on.
-OWN_HEADERS = frozenset(
+# Headers that the daemon sets itself, or must not forward.
+RESERVED_HEADERS = frozenset(
     (
         'content-length',
         'expect',
@@ -34,18 +34,18 @@
 )
 
 
-class PlatformUpstreams:
-    """Writes requests for servers and reads their answers."""
+class PlatformUpstreamDialect:
+    """Encodes requests to servers and parses their responses."""
 
     def write_request(
         self,
         head: RequestHead,
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of a client's request for a server."""
-        dropped = HOP_BY_HOP | OWN_HEADERS | list_named(head.headers)
+        """Build the headers of a client's request to a server."""
+        dropped = HOP_BY_HOP | RESERVED_HEADERS | list_named(head.headers)
         kept = [pair for pair in head.headers if pair[0] not in dropped]
-        return kept + _write_terms(terms)
+        return kept + _write_metadata(terms)
 
     def write_item(
         self,
@@ -53,22 +53,24 @@
         host: str,
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of an item's request for a server."""
-        own = OWN_HEADERS | HOP_BY_HOP | {'host', 'x-request-id'}
+        """Build the headers of an item's request to a server."""
+        reserved = RESERVED_HEADERS | HOP_BY_HOP | {'host', 'x-request-id'}
         kept = [
-            pair for pair in item.headers.items() if pair[0].lower() not in own
+            pair
+            for pair in item.headers.items()
+            if pair[0].lower() not in reserved
         ]
         headers = [('Host', host), ('X-Request-Id', item.id), *kept]
-        return headers + _write_terms(terms)
+        return headers + _write_metadata(terms)
 
     def write_scoring(
         self,
         call: ScoringCall,
         terms: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of a scoring call for a server."""
+        """Build the headers of a scoring call to a server."""
         headers = [('Host', call.host), ('X-Request-Id', call.id)]
-        return headers + _write_terms(terms)
+        return headers + _write_metadata(terms)
 
     def read_answer(
         self,
@@ -76,17 +78,17 @@
         status: int,
         headers: Mapping[str, str],
     ) -> ResponseMetadata:
-        """Read the head of a server's answer."""
+        """Parse the status and headers of a server's response."""
         load = read_load(headers.get('X-Server-Load', ''))
         answered = headers.get('X-Request-Id', '')
-        refused = 'X-Not-Executed' in headers or status == MISDIRECTED
+        refused = 'X-Not-Executed' in headers or status == MISDIRECTED_REQUEST
         if refused and answered in ('', request_id):
             return ResponseMetadata(ResponseOutcome.not_run, load)
         if answered != request_id:
             return ResponseMetadata(ResponseOutcome.foreign)
         version = headers.get('X-Weight-Versions', '')
         number = int(version) if version.isdecimal() else 0
-        if OK_FIRST <= status <= OK_LAST:
+        if MIN_OK <= status <= MAX_OK:
             stamp = headers.get('X-Server-Stamp', '')
             return ResponseMetadata(ResponseOutcome.served, load, number, stamp)
         if status == UNPROCESSABLE:
@@ -96,7 +98,7 @@
         return ResponseMetadata(ResponseOutcome.unfinished, load)
 
     def read_event(self, frame: bytes) -> StreamEvent | None:
-        """Read one event of a stream, ``None`` if it can't be one."""
+        """Parse one event of a stream, ``None`` if it is malformed."""
         number = -1
         version = 0
         text: list[str] = []
@@ -119,7 +121,10 @@
 
 
 def read_load(text: str) -> LoadReport | None:
-    """Read a load as a server tells it: running, waiting and slots."""
+    """Parse a server's load, ``None`` if it is malformed.
+
+    :param text: running requests, queued requests and slots.
+    """
     figures = text.split(',')
     try:
         running, waiting, slots = (int(figure) for figure in figures)
@@ -128,7 +133,7 @@
     return LoadReport(running, waiting, slots)
 
 
-def _write_terms(terms: AttemptMetadata) -> list[tuple[str, str]]:
+def _write_metadata(terms: AttemptMetadata) -> list[tuple[str, str]]:
     left = max(terms.time_left // MILLISECOND, 1)
     headers = [
         ('X-Deadline-Ms', str(left)),
--- a/quetzalcourse/weight_parts.py
+++ b/quetzalcourse/weight_components.py
@@ -1,4 +1,4 @@
-"""The parts that bring new weights onto engines, built and wired."""
+"""Builds the components that roll new weights out to engines."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
 
 
 class WeightPlatform(Table, WeightStore, Protocol):
-    """Services of the platform that waves need."""
+    """Services of the platform that rolling weight updates need."""
 
 
-def name_engines_lease(data_centre: str) -> str:
-    """Name the lease on orders to the engines of a data centre."""
+def build_engine_lease_key(data_centre: str) -> str:
+    """Build the key of the lease on orders to a data centre's engines."""
     return f'lease/engines/{data_centre}'
 
 
 @dataclass(frozen=True, slots=True)
-class WeightParts:
-    """The data centre's lease on its engines, and the waves under it."""
+class WeightComponents:
+    """Lease on the engines of a data centre and their weight updates."""
 
-    keeper: LeaderElector
+    elector: LeaderElector
     waves: WaveRunner
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Run everything for as long as the daemon does."""
-        lifecycle.run(self.keeper.lease.key, self.keeper.run)
+        """Run the components in the background."""
+        lifecycle.run(self.elector.lease.key, self.elector.run)
         lifecycle.run('waves', self.waves.run)
         lifecycle.on_drain(self.on_drain)
         lifecycle.on_stop(self.on_drain)
 
     def describe(self) -> dict[str, Any]:
-        """Tell who orders, and how far the newest versions are."""
-        lease = self.keeper.lease.describe()
+        """Return the lease's state and the progress of each model's update."""
+        lease = self.elector.lease.describe()
         waves = {
             model: asdict(status)
             for model, status in self.waves.describe().items()
@@ -62,13 +62,13 @@
         return {'lease': asdict(lease), 'waves': waves}
 
     async def on_drain(self) -> None:
-        """Give the lease up once no order is on its way any more."""
-        self.keeper.stop_renewing()
+        """Release the lease once no order is in flight."""
+        self.elector.stop_renewing()
         await self.waves.finish()
-        await self.keeper.release()
+        await self.elector.release()
 
 
-def build_weights(
+def build_weight_components(
     settings: ProcessSettings,
     session: aiohttp.ClientSession,
     platform: WeightPlatform,
@@ -76,36 +76,38 @@
     find_report: Callable[[str], EngineReport | None],
     clock: Clock,
     counters: Counters,
-) -> WeightParts:
-    """Build the parts and connect them.
+) -> WeightComponents:
+    """Build the components and connect them.
 
-    :param platform: keeps the lease and tells the published versions.
-    :param find_report: tells an engine's last report, if it is recent.
+    :param platform: stores the lease and lists the published versions.
+    :param find_report: returns the last report of an engine if it is recent.
     """
     incarnation = members.own.incarnation
     data_centre = settings.data_centre
-    key = name_engines_lease(data_centre)
-    times = settings.lease
-    terms = LeaseTimings(
-        timedelta(seconds=times.term_seconds),
-        timedelta(seconds=times.margin_seconds),
-        timedelta(seconds=times.order_timeout_seconds),
+    key = build_engine_lease_key(data_centre)
+    lease_settings = settings.lease
+    timings = LeaseTimings(
+        timedelta(seconds=lease_settings.term_seconds),
+        timedelta(seconds=lease_settings.margin_seconds),
+        timedelta(seconds=lease_settings.order_timeout_seconds),
     )
-    lease = Lease(platform, clock, key, incarnation, terms)
-    keeper = LeaderElector(lease, members, clock, counters, data_centre)
-    wishes = settings.weights
+    lease = Lease(platform, clock, key, incarnation, timings)
+    elector = LeaderElector(lease, members, clock, counters, data_centre)
+    weight_settings = settings.weights
     waves = WaveRunner(
         data_centre,
         lease,
-        EngineControlClient(session, incarnation, times.order_timeout_seconds),
+        EngineControlClient(
+            session, incarnation, lease_settings.order_timeout_seconds
+        ),
         NewestVersions(platform, clock),
         find_report,
         clock,
         counters,
         WaveLimits(
-            wishes.serving_share,
-            wishes.loads_per_second,
-            timedelta(seconds=wishes.swap_seconds),
+            weight_settings.serving_share,
+            weight_settings.loads_per_second,
+            timedelta(seconds=weight_settings.swap_seconds),
         ),
     )
-    return WeightParts(keeper, waves)
+    return WeightComponents(elector, waves)
