--- a/quetzalcourse/transport/scoring_client.py
+++ b/quetzalcourse/transport/scoring_client.py
@@ -106,5 +106,5 @@
         if not metadata.stamp:
             return ScoringOutcome(ScoringState.lost, reason='no stamp')
         self._pool.on_success(upstream)
-        log.debug('Score came.', call=call.id, chunks=len(chunks))
+        log.debug('Score came.', call=call.id, pieces=len(chunks))
         return ScoringOutcome(ScoringState.scored, metadata.stamp)
