--- a/quetzalcourse/tests/transport/caller_faults_tests.py
+++ b/quetzalcourse/tests/transport/caller_faults_tests.py
@@ -1,4 +1,4 @@
-"""Callers that misbehave get a clear error and leave nothing behind."""
+"""Faulty callers: each gets a clear error and leaves no slot held."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 KEY = f'Authorization: Bearer {READER_KEY}'
 COMPLETIONS = '/v1/completions'
 CALL = f'/services/{SERVICE}/shelves'
-PATIENCE = 0.2
-LIMIT = 4000
-POLLS = 400
+TIMEOUT_SECONDS = 0.2
+BODY_LIMIT = 4000
+MAX_POLLS = 400
 LONG_SEED = 2
 LIMITS = {
-    'body_bytes': LIMIT,
-    'service_body_bytes': LIMIT,
-    'sender_seconds': PATIENCE,
-    'reader_seconds': PATIENCE,
+    'body_bytes': BODY_LIMIT,
+    'service_body_bytes': BODY_LIMIT,
+    'sender_seconds': TIMEOUT_SECONDS,
+    'reader_seconds': TIMEOUT_SECONDS,
 }
 
 
 @pytest_asyncio.fixture
 async def deployment() -> AsyncIterator[Deployment]:
-    """Start a deployment whose limits are soon reached."""
+    """Start a deployment with low body limits and timeouts."""
     running = Deployment(engine_count=1, limits=LIMITS)
     await running.on_start()
     yield running
@@ -48,13 +48,13 @@
 
 
 async def exchange(deployment: Deployment, *lines: str, body: str = '') -> str:
-    """Send a request as it stands and read until the connection ends."""
+    """Send a raw request and read until the connection closes."""
     reader, writer = await connect(deployment)
     head = '\r\n'.join((*lines, 'Host: x', 'Connection: close', '', ''))
     writer.write((head + body).encode())
-    answer = await asyncio.wait_for(reader.read(), 20)
+    response = await asyncio.wait_for(reader.read(), 20)
     writer.close()
-    return answer.decode()
+    return response.decode()
 
 
 async def connect(
@@ -65,19 +65,19 @@
     return await asyncio.open_connection(host, int(port), limit=1024)
 
 
-def read_error(answer: str) -> dict[str, Any]:
-    """Read the refusal out of an answer."""
-    head, _, body = answer.partition('\r\n\r\n')
+def read_error(response: str) -> dict[str, Any]:
+    """Parse the error object of a refused request."""
+    head, _, body = response.partition('\r\n\r\n')
     assert 'x-request-id: ' in head.lower()
     error: dict[str, Any] = json.loads(body)['error']
     assert error['request_id'] in head
     return error
 
 
-async def expect_nothing_left(deployment: Deployment) -> None:
-    """Wait until no request is served and no slot is held."""
+async def wait_until_idle(deployment: Deployment) -> None:
+    """Wait until no request is in flight and no slot is held."""
     daemon = deployment.daemon
-    for _ in range(POLLS):
+    for _ in range(MAX_POLLS):
         held = [
             daemon.admission.running(name)
             for name in daemon.manifest.current.upstreams
@@ -90,7 +90,7 @@
 
 
 def write_body(**changes: Any) -> str:
-    """Write the body of a request for tokens."""
+    """Encode the body of a completion request."""
     return json.dumps({'model': MODEL, 'prompt': PROMPT} | changes)
 
 
@@ -115,7 +115,7 @@
         ('/services/none/a', [KEY], 'x', 404, 'unknown_service'),
     ],
 )
-async def test_bad_request_is_refused(
+async def test_invalid_request_is_refused_with_its_fault(
     deployment: Deployment,
     path: str,
     headers: list[str],
@@ -123,20 +123,20 @@
     status: int,
     code: str,
 ) -> None:
-    # A caller's program sends something that can't be served. Its author
-    # has to see what is wrong, and that nothing ran.
-    answer = await exchange(
+    # Guards against unclear errors: the response to an invalid request names
+    # the fault and states that nothing ran.
+    response = await exchange(
         deployment,
         f'POST {path} HTTP/1.1',
         *headers,
         f'Content-Length: {len(body)}',
         body=body,
     )
-    assert answer.startswith(f'HTTP/1.1 {status} ')
-    error = read_error(answer)
+    assert response.startswith(f'HTTP/1.1 {status} ')
+    error = read_error(response)
     assert (error['code'], error['not_run']) == (code, True)
     assert not deployment.services[0].record.calls
-    await expect_nothing_left(deployment)
+    await wait_until_idle(deployment)
 
 
 @pytest.mark.parametrize(
@@ -148,75 +148,79 @@
         (CALL, 'Transfer-Encoding: chunked', '4\r\nhalf\r\n', False),
     ],
 )
-async def test_slow_sender_is_told(
+async def test_stalled_request_body_gets_408(
     deployment: Deployment,
     path: str,
     framing: str,
     body: str,
     not_run: bool,
 ) -> None:
-    # A caller's network stalls in mid-request. Were it waited for, a few
-    # such callers would hold every slot of a service.
-    answer = await exchange(
+    # A caller's network stalls during the request body. Without a timeout, a
+    # few such callers would hold every slot of a service.
+    response = await exchange(
         deployment, f'POST {path} HTTP/1.1', KEY, framing, body=body
     )
-    assert answer.startswith('HTTP/1.1 408 ')
-    error = read_error(answer)
+    assert response.startswith('HTTP/1.1 408 ')
+    error = read_error(response)
     assert (error['code'], error['not_run']) == ('body_timeout', not_run)
-    await expect_nothing_left(deployment)
+    await wait_until_idle(deployment)
 
 
-async def test_large_chunked_body_is_cut(deployment: Deployment) -> None:
-    # The size of a chunked body shows only while it arrives. Passed on
-    # without a limit it could fill the memory of a service.
+async def test_oversized_chunked_body_is_refused(
+    deployment: Deployment,
+) -> None:
+    # The size of a chunked body is known only as it arrives. Forwarded
+    # without a limit, it could fill the memory of a service.
     piece = f'{2000:x}\r\n{"x" * 2000}\r\n'
-    answer = await exchange(
+    response = await exchange(
         deployment,
         f'POST {CALL} HTTP/1.1',
         KEY,
         'Transfer-Encoding: chunked',
         body=f'{piece * 3}0\r\n\r\n',
     )
-    error = read_error(answer)
+    error = read_error(response)
     assert (error['code'], error['not_run']) == ('body_too_large', False)
     assert not deployment.services[0].record.calls
-    await expect_nothing_left(deployment)
+    await wait_until_idle(deployment)
 
 
-@pytest.mark.parametrize('way', ['close', 'half-close', 'stop reading'])
-async def test_caller_goes_away(deployment: Deployment, way: str) -> None:
-    # A reader closes the page, or its laptop, in the middle of a long
-    # stream. An engine that went on would keep a slot from the next reader.
+@pytest.mark.parametrize('disconnect', ['close', 'half-close', 'stop reading'])
+async def test_disconnected_caller_frees_its_slot(
+    deployment: Deployment, disconnect: str
+) -> None:
+    # A caller disconnects or stops reading in the middle of a long stream. An
+    # engine that kept generating would hold a slot that others need.
     engine = deployment.engines[0]
     reader, writer = await connect(deployment)
     transport = writer.transport
-    if way == 'stop reading':
+    if disconnect == 'stop reading':
         engine.faults.padding = 200_000
     body = write_body(max_tokens=2000, stream=True, seed=LONG_SEED)
     head = f'POST {COMPLETIONS} HTTP/1.1\r\nHost: x\r\n{KEY}\r\n'
     writer.write(f'{head}Content-Length: {len(body)}\r\n\r\n{body}'.encode())
     await reader.readline()
-    if way == 'close':
+    if disconnect == 'close':
         transport.abort()
-    elif way == 'half-close':
+    elif disconnect == 'half-close':
         writer.write_eof()
     else:
         transport.pause_reading()  # type: ignore[attr-defined]
-    await expect_nothing_left(deployment)
+    await wait_until_idle(deployment)
     assert engine.record.cancelled
     assert not engine.record.completed
     transport.abort()
 
 
 @pytest.mark.parametrize(('sent', 'ran'), [(True, True), (False, False)])
-async def test_half_closed_caller_is_told(
+async def test_half_closed_caller_gets_409(
     deployment: Deployment,
     sent: bool,
     ran: bool,
 ) -> None:
-    # A program closes its sending side, after its request or within it, and
-    # waits for the answer. It must learn why there is none, and its request
-    # must leave nothing behind.
+    # A caller closes its sending side, after or during its request, and waits
+    # for the response. It must get an error that states why there is none,
+    # and its request must release everything.
     deployment.engines[0].faults.stall = True
     reader, writer = await connect(deployment)
     body = write_body(max_tokens=2000, seed=LONG_SEED)
@@ -228,35 +232,37 @@
         await asyncio.sleep(0.01)
     await asyncio.sleep(0.1)
     writer.write_eof()
-    answer = (await asyncio.wait_for(reader.read(), 20)).decode()
+    response = (await asyncio.wait_for(reader.read(), 20)).decode()
     writer.close()
-    assert answer.startswith('HTTP/1.1 409 ')
-    error = read_error(answer)
+    assert response.startswith('HTTP/1.1 409 ')
+    error = read_error(response)
     assert (error['code'], error['not_run']) == ('cancelled', False)
     deployment.engines[0].faults.stall = False
-    await expect_nothing_left(deployment)
+    await wait_until_idle(deployment)
 
 
 @pytest.mark.parametrize(
     ('method', 'status', 'body'),
     [('HEAD', 200, ''), ('OPTIONS', 200, 'OPTIONS shelves')],
 )
-async def test_methods_pass(
+async def test_head_and_options_are_proxied(
     deployment: Deployment,
     method: str,
     status: int,
     body: str,
 ) -> None:
-    answer = await exchange(deployment, f'{method} {CALL} HTTP/1.1', KEY)
-    assert answer.startswith(f'HTTP/1.1 {status} ')
-    assert answer.partition('\r\n\r\n')[2] == body
-    assert f'content-length: {len(f"{method} shelves")}' in answer.lower()
+    response = await exchange(deployment, f'{method} {CALL} HTTP/1.1', KEY)
+    assert response.startswith(f'HTTP/1.1 {status} ')
+    assert response.partition('\r\n\r\n')[2] == body
+    assert f'content-length: {len(f"{method} shelves")}' in response.lower()
     assert deployment.services[0].record.calls[0].method == method
 
 
-async def test_chunks_pass_both_ways(deployment: Deployment) -> None:
-    # A catalogue answers before it has the whole request. Whoever gathered
-    # the bodies first would make both sides wait for each other.
+async def test_chunks_are_streamed_in_both_directions(
+    deployment: Deployment,
+) -> None:
+    # A service may respond before it has the whole request. Buffering the
+    # bodies would deadlock both sides.
     reader, writer = await connect(deployment)
     path = f'/services/{SERVICE}/echo/verses'
     head = f'POST {path} HTTP/1.1\r\nHost: x\r\n{KEY}\r\n'
@@ -269,9 +275,11 @@
     writer.close()
 
 
-async def test_upstream_sees_no_credentials(deployment: Deployment) -> None:
-    # A key can come in many places. In any of them it would end up in the
-    # logs of a service, whose readers could use it.
+async def test_credentials_are_removed_before_the_upstream(
+    deployment: Deployment,
+) -> None:
+    # A key may appear in the query or in any header. Forwarded, it would
+    # appear in the logs of a service, and anyone who reads them could use it.
     await exchange(
         deployment,
         f'GET {CALL}?api_key={READER_KEY}&page=2&x=a%2D{SECRET} HTTP/1.1',
@@ -291,13 +299,12 @@
     assert not dropped & call.headers.keys()
 
 
-async def test_logs_hold_no_prompt(
+async def test_logs_contain_no_prompt_and_no_key(
     deployment: Deployment,
     caplog: pytest.LogCaptureFixture,
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    # Whoever reads the logs may read neither what callers ask nor the keys
-    # that they ask with, also when something fails.
+    # Logs must contain neither prompts nor keys, also when requests fail.
     caplog.set_level('DEBUG')
     deployment.engines[0].faults.break_after = 1
     headers = {'Authorization': f'Bearer {READER_KEY}'}
@@ -305,8 +312,8 @@
         async with aiohttp.ClientSession(headers=headers) as session:
             for body in (write_body(), write_body(max_tokens=0), f'"{PROMPT}'):
                 url = f'{deployment.url}{COMPLETIONS}'
-                async with session.post(url, data=body) as answer:
-                    await answer.read()
+                async with session.post(url, data=body) as response:
+                    await response.read()
         deployment.daemon.generation.run = None  # type: ignore[assignment]
         answer_text = await exchange(
             deployment,
--- a/quetzalcourse/tests/transport/channel_tests.py
+++ b/quetzalcourse/tests/transport/channel_tests.py
@@ -1,4 +1,4 @@
-"""Connections to the platform when an answer does not come."""
+"""Connections of a channel whose server does not respond."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from quetzalcourse.transport.channel import Channel
 
-SERVER_PATIENCE = 5
-CALL_SECONDS = 0.2
+RESET_TIMEOUT_SECONDS = 5
+REQUEST_TIMEOUT_SECONDS = 0.2
 
 
 class SilentServer:
-    """Reads what comes and answers nothing."""
+    """Server that reads its input and never responds."""
 
     def __init__(self) -> None:
-        """Begin without a connection."""
+        """Start without a connection."""
         self.ended: asyncio.Future[str] = asyncio.Future()
 
     async def serve(
@@ -24,7 +24,7 @@
         reader: asyncio.StreamReader,
         _: asyncio.StreamWriter,
     ) -> None:
-        """Read until the connection ends, and keep how it did."""
+        """Read until the connection ends and record how it ended."""
         try:
             while await reader.read(1000):
                 continue
@@ -34,17 +34,19 @@
             self.ended.set_result('closed')
 
 
-async def test_call_that_is_given_up_resets_its_connection() -> None:
-    # The link to a server is cut while an order is on its way, and the order
-    # is given up. Closed in the usual way, the connection would still carry
-    # it to the server once the link is back, after orders of a newer holder.
+async def test_timed_out_request_resets_its_connection() -> None:
+    # A network partition starts while an order is in transit, and the order is
+    # abandoned. After a normal close the kernel would still deliver it once
+    # the network is back, after orders of a newer lease holder.
     silent = SilentServer()
     server = await asyncio.start_server(silent.serve, '127.0.0.1', 0)
     host, port = server.sockets[0].getsockname()
     channel = Channel(f'{host}:{port}')
-    answer = await channel.request('POST', '/', b'order', seconds=CALL_SECONDS)
-    assert isinstance(answer, Err)
-    async with asyncio.timeout(SERVER_PATIENCE):
+    response = await channel.request(
+        'POST', '/', b'order', seconds=REQUEST_TIMEOUT_SECONDS
+    )
+    assert isinstance(response, Err)
+    async with asyncio.timeout(RESET_TIMEOUT_SECONDS):
         assert await silent.ended == 'reset'
     await channel.close()
     server.close()
--- a/quetzalcourse/tests/transport/crash_detector_tests.py
+++ b/quetzalcourse/tests/transport/crash_detector_tests.py
@@ -1,4 +1,4 @@
-"""Upstreams that ended, told from connections that broke."""
+"""Distinction of crashed upstreams from broken connections."""
 
 from __future__ import annotations
 
@@ -24,65 +24,67 @@
 
 
 def find_free_address() -> str:
-    """Find an address where nobody listens."""
+    """Return an address on which nothing listens."""
     with open_listener('127.0.0.1:0') as listener:
         return read_address(listener)
 
 
-def build_ends(pool: Pool) -> CrashDetector:
-    """Build the part under test."""
+def build_detector(pool: Pool) -> CrashDetector:
+    """Build the detector under test."""
     records = QuarantineRecords(FakeClock())
     return CrashDetector(pool, Quarantine(records, Counters()))
 
 
-async def ask(pool: Pool) -> bool:
-    """Ask whether the upstream ended."""
+async def detect_crash(pool: Pool) -> bool:
+    """Report a broken connection and return whether a crash is detected."""
     upstream = pool.list_service('s')[0]
-    return await build_ends(pool).on_connection_lost(upstream, 'r-1', 'f-1')
+    return await build_detector(pool).on_connection_lost(upstream, 'r-1', 'f-1')
 
 
 @pytest.mark.parametrize('leaving', [False, True])
-async def test_refused_connection_is_an_end_unless_planned(
+async def test_refused_connection_is_a_crash_unless_draining(
     leaving: bool,
 ) -> None:
-    """Guards against blame for upstreams that leave as they said."""
+    """Guards against crash reports of upstreams that drained as announced."""
     pool = build_pool(find_free_address(), leaving=leaving)
-    assert await ask(pool) is not leaving
+    assert await detect_crash(pool) is not leaving
 
 
-async def test_upstream_that_listens_has_not_ended() -> None:
-    """Guards against blame for a connection that broke by itself."""
+async def test_listening_upstream_has_not_crashed() -> None:
+    """Guards against crash reports of a connection that broke by itself."""
     with open_listener('127.0.0.1:0') as listener:
-        assert not await ask(build_pool(read_address(listener)))
+        assert not await detect_crash(build_pool(read_address(listener)))
 
 
-async def test_silence_is_no_end() -> None:
-    """Guards against blame for a network partition."""
+async def test_connect_timeout_is_no_crash() -> None:
+    """Guards against crash reports during a network partition."""
     with open_listener('127.0.0.1:0') as listener:
         listener.listen(0)
         address = read_address(listener)
-        # Nobody accepts here: once the queue is full, connections hang.
+        # Nothing accepts here: once the backlog is full, connections hang.
         queue = [
             asyncio.ensure_future(asyncio.open_connection(*address.split(':')))
             for _ in range(4)
         ]
         await asyncio.sleep(0.05)
-        assert not await ask(build_pool(address))
+        assert not await detect_crash(build_pool(address))
         for one in queue:
             one.cancel()
         await asyncio.gather(*queue, return_exceptions=True)
 
 
-async def test_upstream_whose_entry_is_gone_has_not_ended_unplanned() -> None:
-    """Guards against blame for upstreams that leave without a word."""
+async def test_upstream_removed_from_the_pool_has_not_crashed() -> None:
+    """Guards against crash reports of upstreams removed without notice."""
     pool = build_pool(find_free_address())
     upstream = pool.list_service('s')[0]
     pool.remove('u')
-    assert not await build_ends(pool).on_connection_lost(upstream, 'r-1', 'f-1')
+    assert not await build_detector(pool).on_connection_lost(
+        upstream, 'r-1', 'f-1'
+    )
 
 
-async def test_upstream_is_asked_once_for_many_broken_requests() -> None:
-    """Guards against a burst of connections to an upstream that is back."""
+async def test_upstream_is_probed_once_for_many_failed_requests() -> None:
+    """Guards against a burst of connections to a recovered upstream."""
     accepted = 0
 
     def count(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -94,10 +96,10 @@
     host, port = server.sockets[0].getsockname()
     pool = build_pool(f'{host}:{port}')
     upstream = pool.list_service('s')[0]
-    ends = build_ends(pool)
+    detector = build_detector(pool)
     found = await asyncio.gather(
         *(
-            ends.on_connection_lost(upstream, 'r', f'f-{one}')
+            detector.on_connection_lost(upstream, 'r', f'f-{one}')
             for one in range(50)
         )
     )
--- a/quetzalcourse/tests/transport/end_to_end_tests.py
+++ b/quetzalcourse/tests/transport/end_to_end_tests.py
@@ -1,4 +1,4 @@
-"""One request of each kind goes the whole way through real sockets."""
+"""One request of each kind, end to end over real sockets."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
         yield connected
 
 
-def expect_text(max_tokens: int) -> str:
-    """Say what the stand-in engine generates for the prompt."""
+def build_expected_text(max_tokens: int) -> str:
+    """Compute the text that the stand-in engine generates."""
     length = plan_length(PROMPT, 0, max_tokens)
     tokens = [make_token(PROMPT, 0, offset) for offset in range(length)]
     return ''.join(tokens)
@@ -56,61 +56,67 @@
     body: Any,
     key: str = READER_KEY,
 ) -> tuple[int, Any]:
-    """Send JSON and read JSON."""
+    """Send a JSON body and decode the JSON response."""
     headers = {'Authorization': f'Bearer {key}'}
-    async with session.post(path, json=body, headers=headers) as answer:
-        return answer.status, await answer.json()
+    async with session.post(path, json=body, headers=headers) as response:
+        return response.status, await response.json()
 
 
-async def test_completion_is_whole(session: aiohttp.ClientSession) -> None:
+async def test_completion_returns_the_complete_text(
+    session: aiohttp.ClientSession,
+) -> None:
     body = {'model': MODEL, 'prompt': PROMPT, 'max_tokens': 40}
-    status, answer = await post(session, '/v1/completions', body)
+    status, response = await post(session, '/v1/completions', body)
     assert status == 200
-    assert answer['object'] == 'text_completion'
-    assert answer['choices'][0]['text'] == expect_text(40)
-    assert answer['weight_versions'] == [1]
+    assert response['object'] == 'text_completion'
+    assert response['choices'][0]['text'] == build_expected_text(40)
+    assert response['weight_versions'] == [1]
 
 
-async def test_chat_is_whole(session: aiohttp.ClientSession) -> None:
+async def test_chat_returns_an_assistant_message(
+    session: aiohttp.ClientSession,
+) -> None:
     messages = [{'role': 'user', 'content': PROMPT}]
     body = {'model': MODEL, 'messages': messages}
-    status, answer = await post(session, '/v1/chat/completions', body)
+    status, response = await post(session, '/v1/chat/completions', body)
     assert status == 200
-    assert answer['object'] == 'chat.completion'
-    assert answer['choices'][0]['message']['role'] == 'assistant'
+    assert response['object'] == 'chat.completion'
+    assert response['choices'][0]['message']['role'] == 'assistant'
 
 
-async def test_stream_ends_with_marker(session: aiohttp.ClientSession) -> None:
+async def test_stream_ends_with_the_done_marker(
+    session: aiohttp.ClientSession,
+) -> None:
     body = {'model': MODEL, 'prompt': PROMPT, 'stream': True}
     headers = {'Authorization': f'Bearer {READER_KEY}'}
     async with session.post(
         '/v1/completions', json=body, headers=headers
-    ) as answer:
-        lines = [line async for line in answer.content if line.strip()]
+    ) as response:
+        lines = [line async for line in response.content if line.strip()]
     assert lines[-1] == b'data: [DONE]\n'
     assert len(lines) > 1
 
 
-async def test_broken_stream_is_resumed(
+async def test_interrupted_engine_stream_is_resumed(
     deployment: Deployment,
     session: aiohttp.ClientSession,
 ) -> None:
-    # An engine cuts the connection in the middle of an answer. A caller
-    # whose stream was not resumed would read half a poem as a whole one.
+    # An engine closes the connection in the middle of a response. Unless the
+    # request is resumed, the caller takes half a text for a complete one.
     for engine in deployment.engines:
         engine.faults.break_after = 2
     body = {'model': MODEL, 'prompt': PROMPT, 'max_tokens': 40}
-    status, answer = await post(session, '/v1/completions', body)
+    status, response = await post(session, '/v1/completions', body)
     assert status == 200
-    assert answer['choices'][0]['text'] == expect_text(40)
+    assert response['choices'][0]['text'] == build_expected_text(40)
 
 
 async def test_service_sees_no_key(
     deployment: Deployment,
     session: aiohttp.ClientSession,
 ) -> None:
-    # A caller's key that reaches a service ends up in its logs, and whoever
-    # reads them can ask in the caller's name.
+    # A key that reaches a service appears in its logs, and anyone who reads
+    # them can impersonate the caller.
     path = f'/services/{SERVICE}/shelves/7?reading=night'
     headers = {
         'Authorization': f'Bearer {READER_KEY}',
@@ -118,9 +124,9 @@
         'X-Hop': READER_KEY,
         'X-Kept': 'kept',
     }
-    async with session.post(path, data=b'verse', headers=headers) as answer:
-        assert answer.status == 200
-        assert await answer.read() == b'verse'
+    async with session.post(path, data=b'verse', headers=headers) as response:
+        assert response.status == 200
+        assert await response.read() == b'verse'
     (call,) = deployment.services[0].record.calls
     assert call.query == 'reading=night'
     assert call.headers['x-kept'] == 'kept'
@@ -133,7 +139,7 @@
     session: aiohttp.ClientSession,
 ) -> None:
     # An engine's operator who finds a caller's key in a captured request
-    # could use it against every other engine.
+    # could use it on every other engine.
     await post(session, '/v1/completions', {'model': MODEL, 'prompt': PROMPT})
     records = [engine.record for engine in deployment.engines]
     seen = repr([(record.bodies, record.headers) for record in records])
@@ -163,16 +169,16 @@
     session: aiohttp.ClientSession,
     step: int,
 ) -> list[dict[str, Any]]:
-    """Read batches until the step is whole."""
+    """Read batches until the step is complete."""
     headers = {'Authorization': f'Bearer {TRAINER_KEY}'}
     samples: list[dict[str, Any]] = []
     cursor = 0
     whole = False
     while not whole:
         path = f'/v1/steps/{TRAINER}/{step}/samples?cursor={cursor}'
-        async with session.get(path, headers=headers) as answer:
-            assert answer.status == 200
-            batches = (await answer.json())['batches']
+        async with session.get(path, headers=headers) as response:
+            assert response.status == 200
+            batches = (await response.json())['batches']
         for batch in batches:
             samples.extend(batch['samples'])
             cursor = batch['position'] + 1
@@ -197,7 +203,7 @@
         ('/nowhere', {}, READER_KEY, 404, 'not_found'),
     ],
 )
-async def test_refusal_is_clear(
+async def test_invalid_request_is_refused_with_its_code(
     session: aiohttp.ClientSession,
     path: str,
     body: Any,
@@ -205,10 +211,10 @@
     status: int,
     code: str,
 ) -> None:
-    # A caller sends something that can't be served, and must learn what is
-    # wrong and that nothing ran.
-    found, answer = await post(session, path, body, key)
+    # Guards against unclear errors: the response to an invalid request names
+    # the fault and states that nothing ran.
+    found, response = await post(session, path, body, key)
     assert found == status
-    assert answer['error']['code'] == code
-    assert answer['error']['not_run'] is True
-    assert answer['error']['request_id']
+    assert response['error']['code'] == code
+    assert response['error']['not_run'] is True
+    assert response['error']['request_id']
--- a/quetzalcourse/tests/transport/engine_failure_tests.py
+++ b/quetzalcourse/tests/transport/engine_failure_tests.py
@@ -1,4 +1,4 @@
-"""Engines that refuse or vanish, over real sockets."""
+"""Engines that refuse requests or are unreachable, over real sockets."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
         ('stop', True, True),
     ],
 )
-async def test_refusal_is_the_engines_own(
+async def test_only_an_engines_own_refusal_means_not_run(
     fault: str,
     setting: int,
     not_run: bool,
 ) -> None:
-    # A gateway answers 503 when its engine died in the middle of a request.
-    # Told that nothing ran, the caller would pay for the tokens twice.
+    # A gateway responds 503 when its engine dies during a request. If the
+    # caller were told that nothing ran, it would pay for the tokens twice.
     deployment = Deployment()
     await deployment.on_start()
     for engine in deployment.engines:
@@ -38,20 +38,20 @@
     url = f'{deployment.url}/v1/completions'
     async with (
         aiohttp.ClientSession(headers=headers) as session,
-        session.post(url, json=body) as answer,
+        session.post(url, json=body) as response,
     ):
-        error = (await answer.json())['error']
-        assert answer.status == 502
-        assert int(answer.headers['retry-after']) >= 1
+        error = (await response.json())['error']
+        assert response.status == 502
+        assert int(response.headers['retry-after']) >= 1
     assert error['not_run'] is not_run
     if not_run:
         assert not any(engine.record.started for engine in deployment.engines)
     await deployment.on_stop()
 
 
-async def test_strange_report_stops_no_other() -> None:
-    # A gateway answers in an engine's place. If that ended the round, no
-    # daemon would hear that another engine is about to leave.
+async def test_malformed_report_does_not_stop_the_polling_round() -> None:
+    # A gateway responds in an engine's place. If that aborted the polling
+    # round, no daemon would learn that another engine is draining.
     deployment = Deployment()
     await deployment.on_start()
     deployment.engines[0].faults.strange_report = True
@@ -67,7 +67,7 @@
     fault: str,
     setting: int,
 ) -> None:
-    """Switch a fault on, or take the engine away."""
+    """Inject a fault, or stop the engine."""
     if fault == 'stop':
         await engine.stop()
     else:
--- a/quetzalcourse/tests/transport/key_sessions_tests.py
+++ b/quetzalcourse/tests/transport/key_sessions_tests.py
@@ -1,4 +1,4 @@
-"""Withdrawn keys end what runs on them, and operators' own route."""
+"""Termination of requests of withdrawn keys, and the operators' route."""
 
 from __future__ import annotations
 
@@ -55,38 +55,37 @@
     await connected.close()
 
 
-async def test_stream_of_a_withdrawn_key_ends_with_its_reason(
+async def test_stream_of_a_withdrawn_key_ends_with_the_reason(
     deployment: Deployment,
     session: aiohttp.ClientSession,
 ) -> None:
-    # A key is withdrawn while an answer streams to its caller. The stream
-    # ends at once, says why, and does not claim that nothing ran.
+    # A key is withdrawn while a response streams. The stream must end at once
+    # with the reason and must not claim that nothing ran.
     body = BODY | {'stream': True}
-    async with session.post('/v1/completions', json=body) as answer:
-        await answer.content.readline()
+    async with session.post('/v1/completions', json=body) as response:
+        await response.content.readline()
         deployment.daemon.keys.withdraw(KEY_ID)
-        rest = await answer.read()
+        rest = await response.read()
     assert b'"key_withdrawn"' in rest
     assert b'"not_run":false' in rest
     assert b'[DONE]' not in rest
-    async with session.post('/v1/completions', json=BODY) as answer:
-        assert answer.status == 401
-        assert (await answer.json())['error']['code'] == 'key_withdrawn'
+    async with session.post('/v1/completions', json=BODY) as response:
+        assert response.status == 401
+        assert (await response.json())['error']['code'] == 'key_withdrawn'
 
 
-async def test_whole_answer_of_a_withdrawn_key_is_refused(
+async def test_unstarted_response_of_a_withdrawn_key_is_refused(
     deployment: Deployment,
     session: aiohttp.ClientSession,
 ) -> None:
-    # The caller waits for a whole answer, so there is still place for a
-    # refusal with its own status.
+    # The response has not started, so the refusal still sets its status.
     asking = asyncio.ensure_future(session.post('/v1/completions', json=BODY))
     while not deployment.engines[0].record.started:
         await asyncio.sleep(0.01)
     deployment.daemon.keys.withdraw(KEY_ID)
-    answer = await asking
-    refusal = (await answer.json())['error']
-    assert answer.status == 401
+    response = await asking
+    refusal = (await response.json())['error']
+    assert response.status == 401
     assert refusal['code'] == 'key_withdrawn'
     assert refusal['not_run'] is False
 
@@ -94,8 +93,8 @@
 async def test_idle_connection_of_a_withdrawn_key_is_closed(
     deployment: Deployment,
 ) -> None:
-    # A caller keeps its connection open between requests. After the
-    # withdrawal it is closed, while that of another key stays.
+    # A caller keeps its connection open between requests. The withdrawal must
+    # close it and leave the connections of other keys open.
     kept, kept_writer = await open_idle(deployment, 'trainer.trainer-secret')
     closed, closed_writer = await open_idle(deployment, READER_KEY)
     assert not closed.at_eof()
@@ -110,7 +109,7 @@
     deployment: Deployment,
     key: str,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Send one request, read its answer and keep its connection."""
+    """Send one request, read the response and keep the connection open."""
     host, _, port = deployment.daemon.address.partition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     request = (
@@ -118,8 +117,8 @@
         f'Host: x\r\nAuthorization: Bearer {key}\r\n\r\n'
     )
     writer.write(request.encode())
-    answer = await reader.readuntil(b'\r\n\r\n')
-    assert b'200 OK' in answer
+    response = await reader.readuntil(b'\r\n\r\n')
+    assert b'200 OK' in response
     await settle()
     return reader, writer
 
@@ -135,7 +134,7 @@
         (OPERATOR, {'key_id': 'gone', 'grant': True}, 409, 'conflict'),
     ],
 )
-async def test_faulty_key_change_is_refused(
+async def test_invalid_key_change_is_refused(
     deployment: Deployment,
     session: aiohttp.ClientSession,
     operator: str,
@@ -143,8 +142,8 @@
     status: int,
     code: str,
 ) -> None:
-    # Somebody without an operator key, or an operator with a mistake, asks
-    # for a change of keys; nothing changes.
+    # A key change without a valid operator key, or with an invalid record,
+    # must change nothing.
     keys = deployment.daemon.keys
     keys.withdraw('gone')
     if record.pop('grant', False):
@@ -153,18 +152,18 @@
     headers = {'Authorization': f'Bearer {operator}'}
     async with session.post(
         '/operator/keys', json=record, headers=headers
-    ) as answer:
-        assert answer.status == status
-        assert (await answer.json())['error']['code'] == code
+    ) as response:
+        assert response.status == status
+        assert (await response.json())['error']['code'] == code
     assert list(keys.records) == ['gone']
     assert keys.is_withdrawn('gone')
 
 
-async def test_operator_grants_and_withdraws_at_a_daemon(
+async def test_operator_grants_and_withdraws_a_key_on_a_daemon(
     deployment: Deployment,
     session: aiohttp.ClientSession,
 ) -> None:
-    # The platform is out of reach, so the key is changed at a daemon.
+    # The platform is unreachable, so the operator changes the key on a daemon.
     deployment.platform.faults.down = True
     record = {
         'key_id': 'new',
@@ -178,9 +177,9 @@
     for change in (record, {'key_id': 'new', 'withdrawn': True}):
         async with session.post(
             '/operator/keys', json=change, headers=operator
-        ) as answer:
-            assert answer.status == 200
-        async with session.get(path, headers=caller) as answer:
-            statuses.append(answer.status)
+        ) as response:
+            assert response.status == 200
+        async with session.get(path, headers=caller) as response:
+            statuses.append(response.status)
     assert statuses == [200, 401]
     deployment.platform.faults.down = False
--- a/quetzalcourse/tests/transport/order_client_tests.py
+++ b/quetzalcourse/tests/transport/order_client_tests.py
@@ -1,4 +1,4 @@
-"""Orders and reports over real sockets, and what holds them back."""
+"""Orders and reports over real sockets, with and without a lease."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest_asyncio.fixture
 async def platform() -> AsyncIterator[PlatformStandin]:
-    """Start a platform."""
+    """Start a stand-in platform."""
     running = PlatformStandin()
     await running.start()
     yield running
@@ -32,7 +32,7 @@
 
 @pytest_asyncio.fixture
 async def client(platform: PlatformStandin) -> AsyncIterator[OrderClient]:
-    """Connect a sender."""
+    """Create a client of the platform."""
     async with aiohttp.ClientSession() as session:
         yield OrderClient(session, platform.address, 'vm-1-a', 5)
 
@@ -42,12 +42,12 @@
     return FleetOrder(order_id, token, PLACE, count, 0)
 
 
-async def test_nothing_is_sent_once_the_lease_ended(
+async def test_nothing_is_sent_after_the_lease_expired(
     platform: PlatformStandin,
     client: OrderClient,
 ) -> None:
-    # Opening the connection takes so long that the lease ends meanwhile.
-    # The headers are out by then; the order itself must not follow.
+    # The lease expires while the connection is opened. The headers are sent
+    # by then, but the order itself must not follow.
     assert await client.report(REPORT, lambda: False) == Err(
         OrderProblem.not_sent
     )
@@ -60,12 +60,12 @@
     assert not platform.record.orders
 
 
-async def test_lost_answer_and_second_sending_do_no_harm(
+async def test_order_repeated_after_a_lost_response_counts_once(
     platform: PlatformStandin,
     client: OrderClient,
 ) -> None:
-    # The platform takes an order and its answer is lost, so it is sent
-    # again. Taken as another order it would cost twice.
+    # The platform accepts an order and its response is lost, so the order is
+    # sent again. Treated as another order, it would cost twice.
     platform.faults.lose_answers = 1
     order = make_order(1, 2, 'lac-hall/large/1')
     assert await client.order(order, lambda: True) == Err(
@@ -77,12 +77,12 @@
     assert (found.place, found.count) == (PLACE, 2)
 
 
-async def test_old_token_is_refused(
+async def test_order_with_a_stale_token_is_refused(
     platform: PlatformStandin,
     client: OrderClient,
 ) -> None:
-    # A holder that was stopped wakes up behind its check, which no sender
-    # can exclude; the receiver has seen the next holder's token by then.
+    # A lease holder is paused after its lease check, which no sender can
+    # prevent. The receiver has seen the next holder's token by then.
     newer = make_order(2, 5, 'lac-hall/large/2')
     assert await client.order(newer, lambda: True) == Ok(None)
     older = make_order(1, 2, 'lac-hall/large/1')
--- a/quetzalcourse/tests/transport/service_call_tests.py
+++ b/quetzalcourse/tests/transport/service_call_tests.py
@@ -1,4 +1,4 @@
-"""Plain calls over real sockets, whose upstream or caller misbehaves."""
+"""Service calls over real sockets with a faulty upstream or caller."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
     body: Any = b'verse',
     **headers: str,
 ) -> tuple[int, Any]:
-    """Call the service; a refusal is read as JSON, an answer as bytes."""
+    """Call the service; errors are decoded as JSON, other bodies as bytes."""
     async with (
         aiohttp.ClientSession(headers=KEY | headers) as session,
-        session.request(method, f'{url}{PATH}', data=body) as answer,
+        session.request(method, f'{url}{PATH}', data=body) as response,
     ):
-        assert answer.headers['x-request-id']
-        if answer.status < 400:
-            return answer.status, await answer.read()
-        return answer.status, (await answer.json())['error']
+        assert response.headers['x-request-id']
+        if response.status < 400:
+            return response.status, await response.read()
+        return response.status, (await response.json())['error']
 
 
 @pytest.mark.parametrize(
@@ -63,32 +63,34 @@
         ('GET', 'drop_after', 2, ''),
     ],
 )
-async def test_dropped_call_runs_once(
+async def test_call_on_a_dropped_connection_is_not_resent(
     deployment: Deployment,
     method: str,
     fault: str,
     runs: int,
     code: str,
 ) -> None:
-    # A service closes a connection that is in use again without an answer.
-    # HTTP clients take PUT and DELETE for repeatable and send them again,
-    # and the reservation would be made twice.
+    # A service closes a reused connection without a response. HTTP clients
+    # regard PUT and DELETE as idempotent and resend them, so that a
+    # reservation would be made twice.
     service = deployment.services[0]
     body = None if method == 'GET' else b'verse'
     await call(deployment.url, method, body)
     service.record.calls.clear()
     setattr(service.faults, fault, 1)
-    _, answer = await call(deployment.url, method, body)
+    _, response = await call(deployment.url, method, body)
     assert len(service.record.calls) == runs
     if code:
-        assert answer['code'] == code
-        assert answer['not_run'] is False
+        assert response['code'] == code
+        assert response['not_run'] is False
     assert deployment.daemon.admission.running(f'{SERVICE}-0') == 0
 
 
-async def test_unreachable_service_did_not_run(deployment: Deployment) -> None:
-    # The service is gone. No byte of the call went out, so the caller may
-    # safely send it again later.
+async def test_call_to_unreachable_service_is_not_run(
+    deployment: Deployment,
+) -> None:
+    # The service is down. No byte of the call was sent, so the caller can
+    # safely retry.
     await deployment.services[0].stop()
     status, error = await call(deployment.url)
     assert status == 502
@@ -96,9 +98,11 @@
     assert error['not_run'] is True
 
 
-async def test_key_runs_once_over_daemons(deployment: Deployment) -> None:
-    # The balancer sends a caller's second try to another daemon, which
-    # knows nothing of the first.
+async def test_idempotency_key_runs_once_across_daemons(
+    deployment: Deployment,
+) -> None:
+    # The load balancer sends a caller's retry to another daemon, which has not
+    # seen the first attempt.
     other = Application(build_settings(deployment.platform.address))
     await other.on_start()
     runs = deployment.services[0].record.calls
@@ -115,9 +119,11 @@
     assert len(runs) == 1
 
 
-async def test_key_without_store_is_not_run(deployment: Deployment) -> None:
-    # The store is down. Sent without its claim, the call could run again
-    # through another daemon.
+async def test_keyed_call_without_store_is_not_run(
+    deployment: Deployment,
+) -> None:
+    # The store is down. Sent without a claim of its key, the call could run
+    # again through another daemon.
     deployment.platform.faults.down = True
     _, error = await call(deployment.url, **{'Idempotency-Key': 'night-1'})
     assert error['code'] == 'store_unavailable'
@@ -127,11 +133,11 @@
     assert status == 200
 
 
-async def test_leaving_service_finishes_its_calls(
+async def test_draining_service_completes_its_calls(
     deployment: Deployment,
 ) -> None:
-    # The platform takes a service's VM away. The call that runs must not
-    # be cut, and the next one must not be sent into the cut.
+    # The platform reclaims a service's VM. The running call must complete,
+    # and the next call must not be sent to that VM.
     service = deployment.services[0]
     service.faults.slow_seconds = 0.3
     running = asyncio.create_task(call(deployment.url))
@@ -145,10 +151,10 @@
     assert len(service.record.calls) == 1
 
 
-async def test_caller_that_leaves_frees_the_slot(
+async def test_disconnected_caller_frees_the_slot(
     deployment: Deployment,
 ) -> None:
-    # A reader closes the page while a slow service works on its call.
+    # A caller disconnects while a slow service works on its call.
     deployment.services[0].faults.slow_seconds = 30.0
     task = asyncio.create_task(call(deployment.url))
     await wait_running(deployment, 1)
@@ -157,9 +163,11 @@
     assert deployment.daemon.activity.serving == 0
 
 
-async def test_deadline_ends_a_slow_call(deployment: Deployment) -> None:
-    # The caller said how long it waits. The call was sent, so nobody may
-    # say that it did not run.
+async def test_deadline_ends_a_slow_call_as_outcome_unknown(
+    deployment: Deployment,
+) -> None:
+    # The caller set a timeout. The call was sent before it expired, so the
+    # error must not claim that it did not run.
     deployment.services[0].faults.slow_seconds = 30.0
     _, error = await call(deployment.url, **{'X-Timeout-Seconds': '0.2'})
     assert (error['code'], error['not_run']) == ('outcome_unknown', False)
@@ -167,9 +175,9 @@
 
 
 async def wait_running(deployment: Deployment, count: int) -> None:
-    """Wait until so many calls hold a slot of the service."""
+    """Wait until the given number of calls hold a slot of the service."""
     for _ in range(400):
         if deployment.daemon.admission.running(f'{SERVICE}-0') == count:
             return
         await asyncio.sleep(0.01)
-    raise AssertionError('the slots do not change')
+    raise AssertionError('unexpected number of held slots')
--- a/quetzalcourse/tests/transport/weight_store_tests.py
+++ b/quetzalcourse/tests/transport/weight_store_tests.py
@@ -1,4 +1,4 @@
-"""The weight store limits its rate."""
+"""Rate limit of the weight store."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from quetzalcourse.state.rows import FaultKind
 
 
-async def test_limited_weight_store_is_a_fault() -> None:
-    # The weight store refuses a request that came too soon. A refusal taken
-    # for "no version" would make every sample look new enough.
+async def test_rate_limited_weight_store_returns_a_fault() -> None:
+    # The weight store rejects requests above its rate limit. A rejection read
+    # as "no version" would make every sample look fresh enough.
     deployment = Deployment()
     await deployment.on_start()
     deployment.platform.weights[MODEL] = 7
