--- a/quetzalcourse/peering.py
+++ b/quetzalcourse/peering.py
@@ -173,7 +173,7 @@
                 suspicion_timeout=timedelta(seconds=peering.suspicion_seconds),
             ),
         )
-        members.on_own_change(self.link.replace_own)
+        members.on_own_change(self.link.update_own_member)
         members.replace_seeds(peering.seeds)
         return members
 
@@ -208,4 +208,4 @@
     async def _close_unused_links(self) -> None:
         while True:
             await self._clock.sleep(LINK_CLEANUP_INTERVAL)
-            self.link.close_unused()
+            self.link.close_idle_sockets()
--- a/quetzalcourse/platform/callers.py
+++ b/quetzalcourse/platform/callers.py
@@ -86,7 +86,7 @@
 class PlatformCallerDialect:
     """Parses requests of the platform's clients and encodes results."""
 
-    def read_terms(self, head: RequestHead) -> CallerMetadata:
+    def read_metadata(self, head: RequestHead) -> CallerMetadata:
         """Parse the headers that any request may have."""
         return CallerMetadata(
             request_id=head.find('x-request-id'),
--- a/quetzalcourse/tests/platform/upstreams_tests.py
+++ b/quetzalcourse/tests/platform/upstreams_tests.py
@@ -72,7 +72,7 @@
     # Only an explicit response of the upstream proves that a request was not
     # run. Retrying after any other would run it twice, and accepting the
     # response to another request would give it to the wrong caller.
-    assert UPSTREAMS.read_answer('r', status, headers).state is state
+    assert UPSTREAMS.read_response('r', status, headers).state is state
 
 
 def test_key_and_hop_by_hop_headers_are_not_forwarded() -> None:
--- a/quetzalcourse/transport/batch_routes.py
+++ b/quetzalcourse/transport/batch_routes.py
@@ -1,4 +1,4 @@
-"""Callers' calls about batches."""
+"""Handlers of batch submissions and calls about batches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from quetzalcourse.log import get_log
 from quetzalcourse.state.calls import BatchOperation
 from quetzalcourse.state.refusal import Refusal, RefusalCode
-from quetzalcourse.transport.gateway import send_answer
+from quetzalcourse.transport.gateway import send_response
 from quetzalcourse.transport.web import abort_connection
 
 if TYPE_CHECKING:
@@ -22,16 +22,16 @@
     from quetzalcourse.state.routing import Route
     from quetzalcourse.transport.dialect import CallerDialect
 
-ACCEPTED = 202
+HTTP_ACCEPTED = 202
 BODY_TYPE = 'application/octet-stream'
 log = get_log('batches')
 
 
 class BatchRoutes:
-    """Serves submissions and the calls about them."""
+    """Serves batch submissions and calls about submitted batches."""
 
     def __init__(self, batches: BatchService, dialect: CallerDialect) -> None:
-        """Keep the parts."""
+        """Store the batch service and the codec of the platform."""
         self._batches = batches
         self._dialect = dialect
 
@@ -43,7 +43,10 @@
         route: Route,
         body: bytes,
     ) -> None:
-        """Accept a batch."""
+        """Accept a batch.
+
+        :raises RefusedError: if the body is invalid or the batch has no id.
+        """
         read = self._dialect.read_submission(body)
         if isinstance(read, Err):
             raise RefusedError(_refuse_invalid(read.err_value))
@@ -54,12 +57,15 @@
                 batch_id, client_account, route, read.ok_value
             )
         except OutcomeUnknownError:
-            # Any answer would promise something; a cut promises nothing,
-            # and the caller submits the batch again.
-            log.warning('Outcome of a submission is unknown.', batch=batch_id)
+            # Any response would claim an outcome. An aborted connection
+            # claims none, and the caller submits the batch again.
+            log.warning(
+                'Batch submission outcome unknown; connection aborted.',
+                batch=batch_id,
+            )
             abort_connection(request)
             return
-        await send_answer(request, b'{}', status=ACCEPTED)
+        await send_response(request, b'{}', status=HTTP_ACCEPTED)
 
     async def serve(
         self,
@@ -67,20 +73,20 @@
         call: BatchCall,
         client_account: str,
     ) -> None:
-        """Serve a call about a batch."""
+        """Serve a call about a submitted batch."""
         if call.verb is BatchOperation.end:
             await self._batches.end(call.batch, client_account)
-            await send_answer(request, b'{}')
+            await send_response(request, b'{}')
         elif call.verb is BatchOperation.read_item:
             body = await self._batches.read_item(
                 call.batch, client_account, call.item
             )
-            await send_answer(request, body, content_type=BODY_TYPE)
+            await send_response(request, body, content_type=BODY_TYPE)
         else:
             page = await self._batches.read_results(
                 call.batch, client_account, call.position, call.wait
             )
-            await send_answer(request, self._dialect.write_page(page))
+            await send_response(request, self._dialect.write_page(page))
 
 
 def _refuse_invalid(reason: str) -> Refusal:
--- a/quetzalcourse/transport/departures.py
+++ b/quetzalcourse/transport/caller_protocol.py
@@ -1,4 +1,4 @@
-"""Connections whose caller closed its side before the answer began."""
+"""Server protocol that cancels requests of disconnected callers."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from sanic.http.constants import Stage
 from sanic.server.protocols.http_protocol import HttpProtocol
 
-from quetzalcourse.protocol.refusals import STATUSES, encode_refusal
+from quetzalcourse.protocol.refusals import STATUS_BY_CODE, encode_refusal
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 
 if TYPE_CHECKING:
     from sanic import Request
 
-DEPARTED = Refusal(
+CALLER_DISCONNECTED = Refusal(
     RefusalCode.cancelled,
     'The connection was closed for sending before the answer began.',
     not_run=False,
@@ -22,33 +22,34 @@
 
 
 class CallerProtocol(HttpProtocol):
-    """Connection of a caller.
+    """HTTP connection of a caller, cancelled when the caller sends EOF.
 
-    The end of what a caller sends is all that is seen when its program is
-    gone, so its request is given up: an engine that went on would keep a
-    slot from others. A caller that closed only its sending side still
-    reads, and without an answer it could not tell this from a crash.
+    EOF is the only sign that a caller's process has exited, so the request
+    is cancelled: an engine that kept generating would hold a slot that
+    others need. A caller that closed only its sending side still reads, and
+    without a response it could not tell the cancellation from a crash.
     """
 
     def eof_received(self) -> bool:
-        """Say why the request ends, and close the connection.
+        """Send the refusal of a running request and close the connection.
 
-        :returns: false, so that the transport closes after its last write.
+        :returns: ``False``, so that the transport closes after it has
+            flushed its writes.
         """
         http = self.http
         transport = self.transport
         if http is None or transport is None:
             return False
         if http.stage is Stage.HANDLER:
-            transport.write(encode_departure(http.request))
+            transport.write(encode_disconnect_response(http.request))
         return False
 
 
-def encode_departure(request: Request) -> bytes:
-    """Write the whole answer to a request that is given up."""
+def encode_disconnect_response(request: Request) -> bytes:
+    """Encode the full HTTP response to a cancelled request."""
     request_id = getattr(request.ctx, 'request_id', '')
-    body = encode_refusal(DEPARTED, request_id)
-    status = STATUSES[DEPARTED.code]
+    body = encode_refusal(CALLER_DISCONNECTED, request_id)
+    status = STATUS_BY_CODE[CALLER_DISCONNECTED.code]
     head = (
         f'HTTP/1.1 {status.value} {status.phrase}\r\n'
         f'content-type: application/json\r\n'
--- a/quetzalcourse/transport/channel.py
+++ b/quetzalcourse/transport/channel.py
@@ -1,4 +1,4 @@
-"""HTTP to one server, on connections that are given up after a miss."""
+"""HTTP client of one server that replaces its connections on failure."""
 
 from __future__ import annotations
 
@@ -18,56 +18,64 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# A connection whose peer vanished delivers nothing and reports nothing; the
-# kernel ends it after this long without an acknowledgement.
-UNACKNOWLEDGED_MS = 1500
-PROBE_AFTER_SECONDS = 2
-PROBE_GAP_SECONDS = 1
-PROBES = 2
-CONNECT_SECONDS = 0.5
-# A connection that is closed drops what was not delivered, and resets. Else
-# the kernel goes on sending it: an order that was given up during a cut would
-# reach its server seconds later, after orders of the next holder.
-DROP_ON_CLOSE = struct.pack('ii', 1, 0)
-KEEP_ALIVE_SECONDS = 10.0
-RETIRED_SECONDS = 10.0
-PLAIN_HEADERS = ('User-Agent', 'Accept', 'Accept-Encoding', 'Content-Type')
+# A connection to a vanished peer neither delivers data nor reports an error;
+# the kernel closes it after this long without an acknowledgement.
+TCP_USER_TIMEOUT_MS = 1500
+KEEPALIVE_IDLE_SECONDS = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
+CONNECT_TIMEOUT_SECONDS = 0.5
+# Closing discards undelivered data and resets the connection. Otherwise the
+# kernel keeps retransmitting it, and an order abandoned during a network
+# partition reaches its server seconds later, after orders of the next lease
+# holder.
+RESET_ON_CLOSE = struct.pack('ii', 1, 0)
+IDLE_CONNECTION_SECONDS = 10.0
+RETIRED_SESSION_SECONDS = 10.0
+SKIPPED_AUTO_HEADERS = (
+    'User-Agent',
+    'Accept',
+    'Accept-Encoding',
+    'Content-Type',
+)
 
 
 def open_socket(address: Any) -> socket.socket:
-    """Make a socket that notices a peer which fell silent."""
-    made = socket.socket(*address[:3])
-    made.setblocking(False)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    made.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
+    """Create a TCP socket that detects an unresponsive peer."""
+    opened = socket.socket(*address[:3])
+    opened.setblocking(False)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    opened.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_ON_CLOSE)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_SECONDS
+    opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    opened.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS
     )
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_GAP_SECONDS)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    return made
+    opened.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS
+    )
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    return opened
 
 
 @dataclass(frozen=True, slots=True)
-class ChannelAnswer:
-    """Whole answer of a server."""
+class ChannelResponse:
+    """Status and complete body of a server's response."""
 
     status: int
     content: bytes
 
 
 class Channel:
-    """Sends requests to one server.
+    """HTTP client of one server.
 
-    :param address: IP number and port.
+    :param address: IP address and port.
     """
 
     def __init__(self, address: str) -> None:
-        """Begin without a connection."""
+        """Open a session; connections follow on demand."""
         self.address = address
         self._session = self._open_session()
         self._retired: set[asyncio.Task[None]] = set()
@@ -80,28 +88,31 @@
         *,
         headers: Mapping[str, str] | None = None,
         seconds: float,
-    ) -> Result[ChannelAnswer, StoreFault]:
-        """Send one request and read its whole answer.
+    ) -> Result[ChannelResponse, StoreFault]:
+        """Send one request and read the complete response.
 
-        :param target: path and query, encoded.
-        :param seconds: time after which it counts as unanswered.
+        :param target: path and query, URL-encoded.
+        :param seconds: timeout of the whole exchange.
+        :returns: the response, or what is known about a failed request.
         """
         session = self._session
         url = URL(f'http://{self.address}{target}', encoded=True)
         step = f'{method} {target.partition("?")[0]}'
         timeout = aiohttp.ClientTimeout(
-            total=seconds, sock_connect=CONNECT_SECONDS
+            total=seconds, sock_connect=CONNECT_TIMEOUT_SECONDS
         )
         try:
             async with session.request(
                 method, url, data=body or None, headers=headers, timeout=timeout
-            ) as answer:
-                return Ok(ChannelAnswer(answer.status, await answer.read()))
+            ) as response:
+                return Ok(
+                    ChannelResponse(response.status, await response.read())
+                )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            self._renew(session)
+            self._replace_session(session)
             return Err(StoreFault(FaultKind.not_applied, step, self.address))
         except (aiohttp.ClientError, asyncio.TimeoutError):
-            self._renew(session)
+            self._replace_session(session)
             return Err(StoreFault(FaultKind.unanswered, step, self.address))
 
     async def close(self) -> None:
@@ -109,23 +120,23 @@
         retired = tuple(self._retired)
         for task in retired:
             task.cancel()
-        # Each closes its session as it ends.
+        # Cancellation closes the retired sessions.
         await asyncio.gather(*retired, return_exceptions=True)
         await self._session.close()
 
-    def _renew(self, missed: aiohttp.ClientSession) -> None:
-        # After one miss the idle connections are as suspect as the one that
-        # missed, and trying each would take a timeout each.
-        if missed is not self._session:
+    def _replace_session(self, failed: aiohttp.ClientSession) -> None:
+        # After a failure the idle connections are as suspect as the failed
+        # one, and trying each of them would cost a timeout.
+        if failed is not self._session:
             return
         self._session = self._open_session()
-        task = asyncio.ensure_future(self._retire(missed))
+        task = asyncio.ensure_future(self._close_later(failed))
         self._retired.add(task)
         task.add_done_callback(self._retired.discard)
 
-    async def _retire(self, session: aiohttp.ClientSession) -> None:
+    async def _close_later(self, session: aiohttp.ClientSession) -> None:
         try:
-            await asyncio.sleep(RETIRED_SECONDS)
+            await asyncio.sleep(RETIRED_SESSION_SECONDS)
         finally:
             await session.close()
 
@@ -133,9 +144,9 @@
         return aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
                 limit=0,
-                keepalive_timeout=KEEP_ALIVE_SECONDS,
+                keepalive_timeout=IDLE_CONNECTION_SECONDS,
                 socket_factory=open_socket,
             ),
-            skip_auto_headers=PLAIN_HEADERS,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
             middlewares=(send_once,),
         )
--- a/quetzalcourse/transport/dialect.py
+++ b/quetzalcourse/transport/dialect.py
@@ -1,4 +1,4 @@
-"""Interfaces to the words that callers and upstreams use on the wire."""
+"""Interfaces to the wire formats of callers and upstreams."""
 
 from __future__ import annotations
 
@@ -26,56 +26,59 @@
 
 
 class CallerDialect(Protocol):
-    """How callers say what they want."""
+    """Wire format of the requests and responses of callers."""
 
-    def read_terms(self, head: RequestHead) -> CallerMetadata:
-        """Read what every request may say."""
+    def read_metadata(self, head: RequestHead) -> CallerMetadata:
+        """Read the metadata that any request may carry."""
 
     def read_call(self, head: RequestHead) -> BatchCall | None:
-        """Read a call about a batch, ``None`` if it is another request.
+        """Read a call about a batch, ``None`` if the request is not one.
 
-        :raises ValueError: if it is one, but can't be understood.
+        :raises ValueError: if it is one but malformed.
         """
 
     def read_submission(self, body: bytes) -> Result[Submission, str]:
-        """Read a batch that is submitted."""
+        """Parse the body of a batch submission.
+
+        :returns: the submission, or why it is invalid.
+        """
 
     def write_page(self, page: ResultPage) -> bytes:
-        """Write results for the caller."""
+        """Encode a page of results."""
 
 
 class UpstreamDialect(Protocol):
-    """How upstreams are told what to do, and what they answer."""
+    """Wire format of the requests and responses of upstreams."""
 
     def write_request(
         self,
         head: RequestHead,
-        terms: AttemptMetadata,
+        metadata: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of a caller's request for an upstream."""
+        """Build the upstream headers of a forwarded request."""
 
     def write_item(
         self,
         item: BatchItem,
         host: str,
-        terms: AttemptMetadata,
+        metadata: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of an item's request for an upstream."""
+        """Build the upstream headers of a batch item."""
 
     def write_scoring(
         self,
         call: ScoringCall,
-        terms: AttemptMetadata,
+        metadata: AttemptMetadata,
     ) -> list[tuple[str, str]]:
-        """Write the headers of a scoring call for an upstream."""
+        """Build the upstream headers of a scoring call."""
 
-    def read_answer(
+    def read_response(
         self,
         request_id: str,
         status: int,
         headers: Mapping[str, str],
     ) -> ResponseMetadata:
-        """Read the head of an answer."""
+        """Interpret the status and headers of a response."""
 
     def read_event(self, frame: bytes) -> StreamEvent | None:
-        """Read one event of a stream, ``None`` if it can't be one."""
+        """Parse one event of a stream, ``None`` if it is malformed."""
--- a/quetzalcourse/transport/engine_client.py
+++ b/quetzalcourse/transport/engine_client.py
@@ -1,4 +1,4 @@
-"""Connections to engines."""
+"""HTTP client that runs generation requests on engines."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     from quetzalcourse.state.manifest import Upstream
 
 HTTP_OK = 200
-CONNECT_SECONDS = 2.0
-SILENCE_SECONDS = 20.0
-CANCEL_SECONDS = 2.0
-REFUSAL_BYTES = 4096
-NOT_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-BROKEN_STREAM = (
+CONNECT_TIMEOUT_SECONDS = 2.0
+READ_TIMEOUT_SECONDS = 20.0
+CANCEL_TIMEOUT_SECONDS = 2.0
+MAX_REFUSAL_BYTES = 4096
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+STREAM_ERRORS = (
     aiohttp.ClientError,
     asyncio.TimeoutError,
     msgspec.DecodeError,
@@ -41,12 +41,12 @@
 class EngineClient:
     """Runs requests on engines over HTTP.
 
-    :param session: shared connections.
-    :param clock: tells what is left of a deadline.
+    :param session: shared HTTP session.
+    :param clock: measures the time left until a deadline.
     """
 
     def __init__(self, session: aiohttp.ClientSession, clock: Clock) -> None:
-        """Keep the session that the application owns."""
+        """Store the session, which the application owns."""
         self._session = session
         self._clock = clock
 
@@ -59,23 +59,23 @@
         """Run a request and yield its chunks.
 
         :param upstream: engine to run it on.
-        :param request: what to run.
-        :param tokens: tokens already received, to go on behind them.
-        :raises AttemptError: with the state that the attempt ended in.
+        :param request: the request.
+        :param tokens: tokens already received, to resume after.
+        :raises AttemptError: with the state in which the attempt ended.
         """
         attempt = Attempt()
-        left = request.deadline - self._clock.elapsed()
+        time_left = request.deadline - self._clock.elapsed()
         body = msgspec.json.encode(
-            build_request(request, tokens, left.total_seconds())
+            build_request(request, tokens, time_left.total_seconds())
         )
         try:
             async for chunk in self._stream(upstream, body, attempt):
                 yield chunk
-        except NOT_CONNECTED as error:
+        except CONNECT_ERRORS as error:
             raise AttemptError(
                 attempt.state, 'connect', upstream.name
             ) from error
-        except BROKEN_STREAM as error:
+        except STREAM_ERRORS as error:
             attempt.advance(AttemptState.maybe_sent)
             attempt.advance(AttemptState.broken)
             raise AttemptError(
@@ -86,9 +86,9 @@
             raise AttemptError(attempt.state, 'generate', upstream.name)
 
     async def cancel(self, upstream: Upstream, request_id: str) -> None:
-        """Tell an engine to stop a request; failure is ignored."""
+        """Ask an engine to cancel a request; failure is ignored."""
         url = f'http://{upstream.address}/v1/requests/{request_id}'
-        timeout = aiohttp.ClientTimeout(total=CANCEL_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_SECONDS)
         try:
             async with self._session.delete(url, timeout=timeout):
                 return
@@ -103,19 +103,19 @@
     ) -> AsyncIterator[Chunk]:
         timeout = aiohttp.ClientTimeout(
             total=None,
-            sock_connect=CONNECT_SECONDS,
-            sock_read=SILENCE_SECONDS,
+            sock_connect=CONNECT_TIMEOUT_SECONDS,
+            sock_read=READ_TIMEOUT_SECONDS,
         )
         url = f'http://{upstream.address}/v1/completions'
         async with self._session.post(
             url, data=body, timeout=timeout
-        ) as answer:
+        ) as response:
             attempt.advance(AttemptState.maybe_sent)
-            if answer.status != HTTP_OK:
-                await _read_refusal(answer, attempt)
+            if response.status != HTTP_OK:
+                await _read_refusal(response, attempt)
                 return
             attempt.advance(AttemptState.running)
-            async for line in answer.content:
+            async for line in response.content:
                 content = decode_line(line)
                 if content == END_MARKER:
                     attempt.advance(AttemptState.complete)
@@ -125,9 +125,9 @@
 
 
 async def _read_refusal(
-    answer: aiohttp.ClientResponse,
+    response: aiohttp.ClientResponse,
     attempt: Attempt,
 ) -> None:
-    content = await answer.content.read(REFUSAL_BYTES)
+    content = await response.content.read(MAX_REFUSAL_BYTES)
     if parse_refusal(content) is not None:
         attempt.advance(AttemptState.refused)
--- a/quetzalcourse/transport/health_routes.py
+++ b/quetzalcourse/transport/health_routes.py
@@ -1,11 +1,11 @@
-"""Routes for the balancer and for operators."""
+"""Health, metrics and status routes for load balancers and operators."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from sanic import Request
-from sanic import response as answers
+from sanic import response as sanic_response
 
 from quetzalcourse.transport.metrics import render_metrics
 
@@ -13,40 +13,40 @@
     from sanic import Sanic
     from sanic.response import HTTPResponse
 
-    from quetzalcourse.transport.callers import CallerParts
+    from quetzalcourse.transport.caller_app import RouteDependencies
 
-NOT_READY = 503
+HTTP_UNAVAILABLE = 503
 
 
 class HealthRoutes:
-    """Tells whether the daemon lives, is ready, and what it counted."""
+    """Serves liveness, readiness, metrics and status."""
 
-    def __init__(self, app: Sanic, parts: CallerParts) -> None:
-        """Add the routes to the application."""
+    def __init__(self, app: Sanic, parts: RouteDependencies) -> None:
+        """Register the routes."""
         self._parts = parts
-        app.add_route(self._tell_health, '/healthz')
-        app.add_route(self._tell_ready, '/readyz')
-        app.add_route(self._tell_metrics, '/metrics')
-        app.add_route(self._tell_status, '/status')
+        app.add_route(self._get_health, '/healthz')
+        app.add_route(self._get_readiness, '/readyz')
+        app.add_route(self._get_metrics, '/metrics')
+        app.add_route(self._get_status, '/status')
 
-    async def _tell_health(self, _: Request) -> HTTPResponse:
-        return answers.text('ok')
+    async def _get_health(self, _: Request) -> HTTPResponse:
+        return sanic_response.text('ok')
 
-    async def _tell_ready(self, _: Request) -> HTTPResponse:
+    async def _get_readiness(self, _: Request) -> HTTPResponse:
         if self._parts.activity.ready:
-            return answers.text('ready')
-        return answers.text('not ready', status=NOT_READY)
+            return sanic_response.text('ready')
+        return sanic_response.text('not ready', status=HTTP_UNAVAILABLE)
 
-    async def _tell_metrics(self, _: Request) -> HTTPResponse:
+    async def _get_metrics(self, _: Request) -> HTTPResponse:
         self._parts.service_levels.publish()
-        return answers.raw(
+        return sanic_response.raw(
             render_metrics(self._parts.counters),
             content_type='text/plain; version=0.0.4',
         )
 
-    async def _tell_status(self, _: Request) -> HTTPResponse:
+    async def _get_status(self, _: Request) -> HTTPResponse:
         settings = self._parts.settings
-        return answers.json(
+        return sanic_response.json(
             {
                 'vm': settings.vm,
                 'data_centre': settings.data_centre,
--- a/quetzalcourse/transport/item_calls.py
+++ b/quetzalcourse/transport/item_client.py
@@ -1,4 +1,4 @@
-"""Items of batches at upstreams: one attempt, event by event."""
+"""HTTP client that runs batch items on upstreams."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 )
 from quetzalcourse.log import get_log
 from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
-from quetzalcourse.transport.upstream_calls import (
-    CallLostError,
-    LostState,
-    read_pieces,
+from quetzalcourse.transport.upstream_client import (
+    CallFailedError,
+    CallFailure,
+    read_chunks,
 )
 
 if TYPE_CHECKING:
@@ -27,37 +27,37 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.transport.dialect import UpstreamDialect
-    from quetzalcourse.transport.upstream_calls import UpstreamCalls
-    from quetzalcourse.transport.upstream_ends import UpstreamEnds
+    from quetzalcourse.transport.upstream_client import UpstreamClient
+    from quetzalcourse.transport.crash_detector import CrashDetector
 
-# An upstream sends an event every 40 to 150 ms, and none during a load of
-# weights, which takes about a second; one silent for longer is gone.
-STALL = timedelta(seconds=1.6)
-FRAME_END = b'\n\n'
+# An upstream sends an event every 40 to 150 ms, and none while it loads
+# weights, which takes about a second; after that it is considered dead.
+EVENT_TIMEOUT = timedelta(seconds=1.6)
+EVENT_SEPARATOR = b'\n\n'
 log = get_log('items')
 
 
-class GarbledStreamError(Exception):
-    """Stream whose events do not follow each other."""
+class MalformedStreamError(Exception):
+    """Foreign response, or stream with malformed or unordered events."""
 
 
-class ItemCalls:
-    """Runs items at upstreams."""
+class ItemClient:
+    """Runs batch items on upstreams, one attempt per call."""
 
     def __init__(
         self,
-        calls: UpstreamCalls,
+        calls: UpstreamClient,
         dialect: UpstreamDialect,
         pool: Pool,
-        ends: UpstreamEnds,
+        crash_detector: CrashDetector,
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """Keep the parts."""
+        """Store the collaborators."""
         self._calls = calls
         self._dialect = dialect
         self._pool = pool
-        self._ends = ends
+        self._crash_detector = crash_detector
         self._clock = clock
         self._counters = counters
 
@@ -67,16 +67,19 @@
         run: ItemRun,
         upstream: Upstream,
     ) -> ItemResult | None:
-        """Run an item until its end, or until the attempt fails."""
+        """Run one attempt of an item.
+
+        :returns: the item's result, ``None`` if the attempt ended without one.
+        """
         now = self._clock.elapsed()
         head = batch.head
-        terms = AttemptMetadata(
+        metadata = AttemptMetadata(
             upstream.name,
             head.client_account,
             batch.expires_at - now,
             run.resume_after,
         )
-        headers = self._dialect.write_item(run.item, head.host, terms)
+        headers = self._dialect.write_item(run.item, head.host, metadata)
         resumed = run.resume_after
         try:
             async with self._calls.open(
@@ -85,23 +88,25 @@
                 run.item.path,
                 headers,
                 run.item.body,
-                STALL,
-            ) as answer:
-                result = await self._receive(batch, run, upstream, answer)
-        except CallLostError as error:
+                EVENT_TIMEOUT,
+            ) as response:
+                result = await self._receive(batch, run, upstream, response)
+        except CallFailedError as error:
             self._pool.on_failure(upstream, error.state.value)
-            self._miss(batch, run, upstream, error.state.value)
-            if error.state is LostState.unanswered:
-                await self._ends.on_broken(
+            self._record_failed_attempt(batch, run, upstream, error.state.value)
+            if error.state is CallFailure.unanswered:
+                await self._crash_detector.on_connection_lost(
                     upstream, run.item.id, run.fingerprint
                 )
-            if error.state is LostState.not_sent:
+            if error.state is CallFailure.not_sent:
                 run.back_off(self._clock.elapsed())
             return None
-        except GarbledStreamError as error:
+        except MalformedStreamError as error:
             self._pool.on_failure(upstream, 'garbled')
-            self._miss(batch, run, upstream, str(error))
-            await self._ends.on_broken(upstream, run.item.id, run.fingerprint)
+            self._record_failed_attempt(batch, run, upstream, str(error))
+            await self._crash_detector.on_connection_lost(
+                upstream, run.item.id, run.fingerprint
+            )
             run.back_off(self._clock.elapsed())
             return None
         if result is not None:
@@ -117,7 +122,7 @@
             )
         return result
 
-    def _miss(
+    def _record_failed_attempt(
         self,
         batch: BatchRun,
         run: ItemRun,
@@ -140,42 +145,48 @@
         batch: BatchRun,
         run: ItemRun,
         upstream: Upstream,
-        answer: aiohttp.ClientResponse,
+        response: aiohttp.ClientResponse,
     ) -> ItemResult | None:
-        marks = self._dialect.read_answer(
-            run.item.id, answer.status, answer.headers
+        metadata = self._dialect.read_response(
+            run.item.id, response.status, response.headers
         )
-        self._pool.on_load(upstream, marks.load)
+        self._pool.on_load(upstream, metadata.load)
         model = batch.head.model
-        if marks.state is ResponseOutcome.foreign:
-            raise GarbledStreamError('foreign answer')
-        if marks.state is ResponseOutcome.not_run:
+        if metadata.state is ResponseOutcome.foreign:
+            raise MalformedStreamError('foreign answer')
+        if metadata.state is ResponseOutcome.not_run:
             self._pool.on_model_refused(upstream, model)
-            self._miss(batch, run, upstream, f'status {answer.status}')
+            self._record_failed_attempt(
+                batch, run, upstream, f'status {response.status}'
+            )
             return None
-        if marks.state is ResponseOutcome.impossible:
+        if metadata.state is ResponseOutcome.impossible:
             return run.build_abandoned_result()
-        if marks.state is ResponseOutcome.failed:
-            return self._fail(batch, run, upstream, answer.status)
-        if marks.state is ResponseOutcome.unfinished:
-            self._miss(batch, run, upstream, f'status {answer.status}')
+        if metadata.state is ResponseOutcome.failed:
+            return self._handle_failed_response(
+                batch, run, upstream, response.status
+            )
+        if metadata.state is ResponseOutcome.unfinished:
+            self._record_failed_attempt(
+                batch, run, upstream, f'status {response.status}'
+            )
             run.back_off(self._clock.elapsed())
             return None
-        if marks.weight_version:
-            self._pool.on_version(upstream, model, marks.weight_version)
-        if not self._accepts(batch, run, marks.weight_version):
+        if metadata.weight_version:
+            self._pool.on_version(upstream, model, metadata.weight_version)
+        if not self._accepts_version(batch, run, metadata.weight_version):
             self._pool.on_model_refused(upstream, model)
-            self._miss(batch, run, upstream, 'old weights')
+            self._record_failed_attempt(batch, run, upstream, 'old weights')
             return None
         whole = await self._read_stream(
-            batch, run, upstream, answer, marks.weight_version
+            batch, run, upstream, response, metadata.weight_version
         )
         if not whole:
             return None
         self._pool.on_success(upstream)
         return run.build_completed_result()
 
-    def _fail(
+    def _handle_failed_response(
         self,
         batch: BatchRun,
         run: ItemRun,
@@ -183,13 +194,15 @@
         status: int,
     ) -> ItemResult | None:
         run.failures += 1
-        self._miss(batch, run, upstream, f'status {status}')
+        self._record_failed_attempt(batch, run, upstream, f'status {status}')
         if run.failures >= batch.head.max_attempts:
             return run.build_abandoned_result()
         run.back_off(self._clock.elapsed())
         return None
 
-    def _accepts(self, batch: BatchRun, run: ItemRun, version: int) -> bool:
+    def _accepts_version(
+        self, batch: BatchRun, run: ItemRun, version: int
+    ) -> bool:
         if version and version < batch.head.min_version:
             return False
         mixed = bool(run.versions) and version not in run.versions
@@ -203,39 +216,42 @@
         batch: BatchRun,
         run: ItemRun,
         upstream: Upstream,
-        answer: aiohttp.ClientResponse,
+        response: aiohttp.ClientResponse,
         version: int,
     ) -> bool:
-        """Take the events of a stream.
+        """Append the events of a stream to an item.
 
-        :returns: whether it came to its end.
+        :returns: whether the stream completed.
+        :raises MalformedStreamError: if an event is broken or out of order.
         """
         rest = b''
         token_latency = TokenLatencyReader()
-        async for piece in read_pieces(answer, STALL):
-            *frames, rest = (rest + piece).split(FRAME_END)
+        async for chunk in read_chunks(response, EVENT_TIMEOUT):
+            *frames, rest = (rest + chunk).split(EVENT_SEPARATOR)
             for frame in frames:
                 event = self._read_event(run, frame)
                 version = event.weight_version or version
                 self._pool.on_version(upstream, batch.head.model, version)
-                if not self._accepts(batch, run, version):
-                    self._miss(batch, run, upstream, 'mixed weights')
+                if not self._accepts_version(batch, run, version):
+                    self._record_failed_attempt(
+                        batch, run, upstream, 'mixed weights'
+                    )
                     return False
                 run.append(event, version)
             reading = token_latency.read(self._clock.elapsed(), len(frames))
             if reading is not None:
                 self._pool.on_token_latency(upstream, reading)
             if run.migration_target is not None:
-                self._miss(batch, run, upstream, 'moved')
+                self._record_failed_attempt(batch, run, upstream, 'moved')
                 return False
         if rest.strip():
-            raise GarbledStreamError('broken event')
+            raise MalformedStreamError('broken event')
         return True
 
     def _read_event(self, run: ItemRun, frame: bytes) -> StreamEvent:
         event = self._dialect.read_event(frame)
         if event is None:
-            raise GarbledStreamError('no event')
+            raise MalformedStreamError('no event')
         if not run.is_next(event):
-            raise GarbledStreamError('event out of order')
+            raise MalformedStreamError('event out of order')
         return event
--- a/quetzalcourse/transport/scoring_calls.py
+++ b/quetzalcourse/transport/scoring_client.py
@@ -1,4 +1,4 @@
-"""Scoring calls to upstreams of plain services."""
+"""HTTP client for scoring calls to upstreams of plain services."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 )
 from quetzalcourse.log import get_log
 from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
-from quetzalcourse.transport.upstream_calls import (
-    CallLostError,
-    LostState,
-    read_pieces,
+from quetzalcourse.transport.upstream_client import (
+    CallFailedError,
+    CallFailure,
+    read_chunks,
 )
 
 if TYPE_CHECKING:
@@ -25,27 +25,27 @@
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.state.batches import ScoringCall
     from quetzalcourse.transport.dialect import UpstreamDialect
-    from quetzalcourse.transport.upstream_calls import UpstreamCalls
-    from quetzalcourse.transport.upstream_ends import UpstreamEnds
+    from quetzalcourse.transport.upstream_client import UpstreamClient
+    from quetzalcourse.transport.crash_detector import CrashDetector
 
 log = get_log('scoring')
 
 
-class ScoringCalls:
-    """Makes scoring calls over the connections that requests share."""
+class ScoringClient:
+    """Makes scoring calls over the shared upstream connections."""
 
     def __init__(
         self,
-        calls: UpstreamCalls,
+        calls: UpstreamClient,
         dialect: UpstreamDialect,
         pool: Pool,
-        ends: UpstreamEnds,
+        crash_detector: CrashDetector,
     ) -> None:
-        """Keep the parts."""
+        """Store the collaborators."""
         self._calls = calls
         self._dialect = dialect
         self._pool = pool
-        self._ends = ends
+        self._crash_detector = crash_detector
 
     async def score(
         self,
@@ -54,55 +54,62 @@
         upstream: Upstream,
         timeout: timedelta,
     ) -> ScoringOutcome:
-        """Make a call once and judge its answer."""
-        terms = AttemptMetadata(upstream.name, '', timeout)
+        """Make one scoring call without retries.
+
+        :param timeout: time to wait for the head, and between chunks.
+        """
+        metadata = AttemptMetadata(upstream.name, '', timeout)
         try:
             async with self._calls.open(
                 upstream.member.address,
                 'POST',
                 call.path,
-                self._dialect.write_scoring(call, terms),
+                self._dialect.write_scoring(call, metadata),
                 call.body,
                 timeout,
-            ) as answer:
-                return await self._judge(call, upstream, answer, timeout)
-        except CallLostError as error:
+            ) as response:
+                return await self._read_result(
+                    call, upstream, response, timeout
+                )
+        except CallFailedError as error:
             reason = error.state.value
-            if error.state is LostState.late:
+            if error.state is CallFailure.late:
                 self._pool.on_timeout(upstream)
                 return ScoringOutcome(ScoringState.late, reason=reason)
             self._pool.on_failure(upstream, reason)
-            if error.state is LostState.unanswered:
-                await self._ends.on_broken(upstream, call.id, fingerprint)
+            if error.state is CallFailure.unanswered:
+                await self._crash_detector.on_connection_lost(
+                    upstream, call.id, fingerprint
+                )
             return ScoringOutcome(ScoringState.lost, reason=reason)
 
-    async def _judge(
+    async def _read_result(
         self,
         call: ScoringCall,
         upstream: Upstream,
-        answer: aiohttp.ClientResponse,
+        response: aiohttp.ClientResponse,
         timeout: timedelta,
     ) -> ScoringOutcome:
-        marks = self._dialect.read_answer(
-            call.id, answer.status, answer.headers
+        metadata = self._dialect.read_response(
+            call.id, response.status, response.headers
         )
-        self._pool.on_load(upstream, marks.load)
-        reason = f'status {answer.status}'
-        if marks.state is ResponseOutcome.not_run:
+        self._pool.on_load(upstream, metadata.load)
+        reason = f'status {response.status}'
+        if metadata.state is ResponseOutcome.not_run:
             self._pool.on_model_refused(upstream, '')
             return ScoringOutcome(ScoringState.not_run, reason=reason)
-        if marks.state is ResponseOutcome.foreign:
+        if metadata.state is ResponseOutcome.foreign:
             self._pool.on_failure(upstream, 'foreign answer')
             return ScoringOutcome(ScoringState.lost, reason='foreign answer')
-        # An answer that breaks off counts for nothing, so its body is read
-        # to the end though nobody wants it.
-        pieces = [piece async for piece in read_pieces(answer, timeout)]
-        if marks.state is ResponseOutcome.failed:
+        # A truncated response does not count, so the body is read to its end
+        # although its content is unused.
+        chunks = [chunk async for chunk in read_chunks(response, timeout)]
+        if metadata.state is ResponseOutcome.failed:
             return ScoringOutcome(ScoringState.failed, reason=reason)
-        if marks.state is not ResponseOutcome.served:
+        if metadata.state is not ResponseOutcome.served:
             return ScoringOutcome(ScoringState.lost, reason=reason)
-        if not marks.stamp:
+        if not metadata.stamp:
             return ScoringOutcome(ScoringState.lost, reason='no stamp')
         self._pool.on_success(upstream)
-        log.debug('Score came.', call=call.id, pieces=len(pieces))
-        return ScoringOutcome(ScoringState.scored, marks.stamp)
+        log.debug('Scoring call succeeded.', call=call.id, pieces=len(chunks))
+        return ScoringOutcome(ScoringState.scored, metadata.stamp)
--- a/quetzalcourse/transport/step_routes.py
+++ b/quetzalcourse/transport/step_routes.py
@@ -8,19 +8,19 @@
 import msgspec
 from result import Err, Result
 from sanic import Request
-from sanic import response as answers
+from sanic import response as sanic_response
 
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.protocol.callers import (
     AcknowledgeBody,
-    StepAnswer,
+    StepResponse,
     StepBody,
     find_step_faults,
 )
 from quetzalcourse.state.refusal import Refusal, RefusalCode
 from quetzalcourse.state.steps import StepSpec
-from quetzalcourse.transport.bodies import allow_streaming, read_body
-from quetzalcourse.transport.callers import (
+from quetzalcourse.transport.request_body import allow_streaming, read_body
+from quetzalcourse.transport.caller_app import (
     JSON_TYPE,
     authenticate,
     decode_body,
@@ -33,20 +33,20 @@
     from sanic.response import HTTPResponse
 
     from quetzalcourse.state.manifest import Trainer
-    from quetzalcourse.transport.callers import CallerParts
+    from quetzalcourse.transport.caller_app import RouteDependencies
 
 Found = TypeVar('Found')
 STEP_PATH = '/v1/steps/<trainer:str>/<step:int>'
 
 
 class StepRoutes:
-    """Serves trainers.
+    """Serves the steps of trainers.
 
-    :param parts: what the routes need of the rest of the daemon.
+    :param parts: components that the routes depend on.
     """
 
-    def __init__(self, app: Sanic, parts: CallerParts) -> None:
-        """Add the routes to the application."""
+    def __init__(self, app: Sanic, parts: RouteDependencies) -> None:
+        """Register the routes."""
         self._parts = parts
         self._steps = parts.steps
         app.add_route(
@@ -84,7 +84,7 @@
         spec = self._build_spec(body, trainer)
         created = self._steps.create(spec, tuple(body.prompts))
         await self._wait(created)
-        return encode_answer(StepAnswer(spec.trainer, spec.step, spec.total))
+        return encode_answer(StepResponse(spec.trainer, spec.step, spec.total))
 
     async def _observe(
         self,
@@ -133,10 +133,10 @@
 
     async def _wait(self, work: Awaitable[Result[Found, Refusal]]) -> Found:
         with self._parts.activity.track():
-            answer = await work
-        if isinstance(answer, Err):
-            raise RefusedError(answer.err_value)
-        return answer.ok_value
+            result = await work
+        if isinstance(result, Err):
+            raise RefusedError(result.err_value)
+        return result.ok_value
 
     def _build_spec(self, body: StepBody, trainer: Trainer) -> StepSpec:
         bound = trainer.staleness_bound
@@ -174,14 +174,14 @@
 
 
 def hash_body(body: StepBody) -> str:
-    """Hash what a trainer asked for, to tell a repeat from a conflict."""
+    """Hash a step request, to distinguish a retry from a conflict."""
     return hashlib.sha256(msgspec.json.encode(body)).hexdigest()
 
 
 def read_cursor(text: str) -> int:
-    """Read a cursor from a query.
+    """Parse the cursor of a query.
 
-    :raises RefusedError: if it is no whole number from zero on.
+    :raises RefusedError: if it is not a non-negative integer.
     """
     if text.isascii() and text.isdigit():
         return int(text)
@@ -196,8 +196,10 @@
 
 
 def encode_answer(message: object) -> HTTPResponse:
-    """Answer with a message as JSON."""
-    return answers.raw(msgspec.json.encode(message), content_type=JSON_TYPE)
+    """Build a JSON response."""
+    return sanic_response.raw(
+        msgspec.json.encode(message), content_type=JSON_TYPE
+    )
 
 
 def _refuse(code: RefusalCode, message: str) -> Refusal:
--- /dev/null
+++ b/quetzalcourse/transport/upstream_client.py
@@ -0,0 +1,209 @@
+"""HTTP client for upstreams with a connection pool."""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+import re
+from contextlib import asynccontextmanager
+from datetime import timedelta
+from typing import TYPE_CHECKING, Any
+
+import aiohttp
+from yarl import URL
+
+from quetzalcourse.exceptions import QuetzalcourseError
+from quetzalcourse.transport.channel import SKIPPED_AUTO_HEADERS, open_socket
+from quetzalcourse.transport.connections import send_once
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    Body = bytes | AsyncIterator[bytes] | None
+
+CONNECT_TIMEOUT_SECONDS = 0.3
+# Upstreams close idle connections after some seconds. A request sent during
+# the close may have run, so the pool closes idle connections first. This short
+# default applies until an upstream announces its keep-alive timeout.
+DEFAULT_KEEP_ALIVE_SECONDS = 3.0
+KEEP_ALIVE_MARGIN_SECONDS = 1.5
+KEEP_ALIVE_PATTERN = re.compile(r'timeout=(\d+)')
+MAX_HEADER_BYTES = 65536
+
+
+class CallFailure(enum.StrEnum):
+    """How a request without a complete response failed."""
+
+    not_sent = 'not_sent'
+    unanswered = 'unanswered'
+    late = 'late'
+
+
+class CallFailedError(QuetzalcourseError):
+    """Request that got no complete response.
+
+    :param state: ``not_sent`` only if no byte of it was sent.
+    :param peer: address of the upstream.
+    """
+
+    def __init__(self, state: CallFailure, peer: str) -> None:
+        """Store the failure and the upstream."""
+        super().__init__(f'{peer}: {state.value}')
+        self.state = state
+        self.peer = peer
+
+
+class QuietConnector(aiohttp.TCPConnector):
+    """Connection pool that discards connections with unexpected data.
+
+    An upstream may send a second response long after the first. If the
+    connection were reused, the next request would receive that response, and
+    every later request the response of its predecessor.
+    """
+
+    def update_keep_alive(self, text: str) -> None:
+        """Adopt the keep-alive timeout that an upstream announces.
+
+        :param text: value of the ``Keep-Alive`` header.
+        """
+        match = KEEP_ALIVE_PATTERN.search(text)
+        if match is not None:
+            self._keepalive_timeout = max(
+                int(match[1]) - KEEP_ALIVE_MARGIN_SECONDS,
+                KEEP_ALIVE_MARGIN_SECONDS,
+            )
+
+    @property
+    def keep_alive(self) -> timedelta:
+        """How long idle connections are kept open."""
+        return timedelta(seconds=self._keepalive_timeout or 0)
+
+    async def _get(self, key: Any, traces: Any) -> Any:
+        """Take an idle connection on which no data has arrived."""
+        while True:
+            connection = await super()._get(key, traces)
+            if connection is None:
+                return None
+            protocol = connection.protocol
+            if protocol is not None and not protocol.should_close:
+                return connection
+            connection.close()
+
+
+class UpstreamClient:
+    """Sends requests to upstreams without implicit retries."""
+
+    def __init__(self) -> None:
+        """Open a session; connections follow on demand."""
+        self._connector = QuietConnector(
+            limit=0,
+            keepalive_timeout=DEFAULT_KEEP_ALIVE_SECONDS,
+            socket_factory=open_socket,
+        )
+        self._session = aiohttp.ClientSession(
+            connector=self._connector,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
+            auto_decompress=False,
+            middlewares=(send_once,),
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
+        )
+
+    @property
+    def keep_alive(self) -> timedelta:
+        """How long idle connections are kept open."""
+        return self._connector.keep_alive
+
+    async def close(self) -> None:
+        """Close every connection."""
+        await self._session.close()
+
+    @asynccontextmanager
+    async def open(
+        self,
+        address: str,
+        method: str,
+        target: str,
+        headers: list[tuple[str, str]],
+        body: Body,
+        head_timeout: timedelta,
+    ) -> AsyncIterator[aiohttp.ClientResponse]:
+        """Send a request and yield its response once the head arrives.
+
+        If the block ends before the response does, the connection is closed,
+        upon which the upstream stops its work.
+
+        :param head_timeout: how long to wait for status and headers.
+        :raises CallFailedError: if status and headers do not arrive.
+        """
+        response = await self._send(
+            address, method, target, headers, body, head_timeout
+        )
+        try:
+            yield response
+        except BaseException:
+            response.close()
+            raise
+        else:
+            if response.content.at_eof():
+                response.release()
+            else:
+                response.close()
+
+    async def _send(
+        self,
+        address: str,
+        method: str,
+        target: str,
+        headers: list[tuple[str, str]],
+        body: Body,
+        head_timeout: timedelta,
+    ) -> aiohttp.ClientResponse:
+        url = URL(f'http://{address}{target}', encoded=True)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+        )
+        try:
+            async with asyncio.timeout(head_timeout.total_seconds()):
+                response = await self._session.request(
+                    method,
+                    url,
+                    data=body,
+                    headers=headers,
+                    timeout=timeout,
+                    allow_redirects=False,
+                )
+        except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
+            raise CallFailedError(CallFailure.not_sent, address) from None
+        except TimeoutError:
+            raise CallFailedError(CallFailure.late, address) from None
+        except (aiohttp.ClientError, OSError, ValueError):
+            raise CallFailedError(CallFailure.unanswered, address) from None
+        self._connector.update_keep_alive(
+            response.headers.get('Keep-Alive', '')
+        )
+        return response
+
+
+async def read_chunks(
+    response: aiohttp.ClientResponse,
+    chunk_timeout: timedelta | None,
+) -> AsyncIterator[bytes]:
+    """Yield the body of a response as it arrives.
+
+    :param chunk_timeout: timeout between two chunks, ``None`` for no limit.
+    :raises CallFailedError: if the body is truncated or times out.
+    """
+    peer = f'{response.url.host}:{response.url.port}'
+    seconds = None if chunk_timeout is None else chunk_timeout.total_seconds()
+    while True:
+        try:
+            async with asyncio.timeout(seconds):
+                chunk = await response.content.readany()
+        except TimeoutError:
+            raise CallFailedError(CallFailure.late, peer) from None
+        except (aiohttp.ClientError, OSError, ValueError):
+            raise CallFailedError(CallFailure.unanswered, peer) from None
+        if not chunk:
+            return
+        yield chunk
