--- a/quetzalcourse/coordination/requests/request_progress.py
+++ b/quetzalcourse/coordination/requests/request_progress.py
@@ -115,7 +115,7 @@
         """Build the error for a request whose deadline has passed."""
         return self._refuse(
             RefusalCode.deadline_exceeded,
-            'The answer was not complete before the deadline.',
+            'The answer was not whole before the deadline.',
             'generate',
         )
 
--- a/quetzalcourse/coordination/requests/service_dispatcher.py
+++ b/quetzalcourse/coordination/requests/service_dispatcher.py
@@ -210,7 +210,7 @@
         wait = self._health.find_retry_delay(names)
         return Refusal(
             RefusalCode.upstream_failed,
-            'No upstream of the service is currently available.',
+            'No upstream of the service can be tried now.',
             not_run=not call.may_have_run,
             retry_after=max(wait, MIN_RETRY_AFTER),
             step='route',
@@ -232,7 +232,7 @@
         code = RefusalCode.outcome_unknown
     return Refusal(
         code,
-        'The service did not return a complete answer.',
+        'The service gave no whole answer.',
         not_run=not call.may_have_run,
         step='call service',
         peer=peer,
--- a/quetzalcourse/coordination/slots/account_limits.py
+++ b/quetzalcourse/coordination/slots/account_limits.py
@@ -86,7 +86,7 @@
             return None
         return _refuse(
             RefusalCode.overloaded,
-            f'The account is limited to {account.queued} queued requests.',
+            f'{account.queued} requests of the account may wait at once.',
             timedelta(seconds=2),
         )
 
--- a/quetzalcourse/coordination/slots/admission.py
+++ b/quetzalcourse/coordination/slots/admission.py
@@ -288,7 +288,7 @@
 def _refuse_queue_full() -> Refusal:
     return Refusal(
         RefusalCode.overloaded,
-        'Too many requests are waiting for a slot.',
+        'Too many requests wait for a slot.',
         not_run=True,
         retry_after=OVERLOAD_RETRY_AFTER,
         step='wait for a slot',
--- a/quetzalcourse/coordination/steps/delivery_rules.py
+++ b/quetzalcourse/coordination/steps/delivery_rules.py
@@ -78,7 +78,7 @@
     """Refuse a cursor that would skip batches that were never read."""
     return Refusal(
         RefusalCode.invalid_body,
-        f'Cursor {cursor} is beyond {sealed}, the last cursor issued.',
+        f'Cursor {cursor} lies beyond {sealed}, the last one given out.',
         not_run=True,
         step='read cursor',
     )
--- a/quetzalcourse/coordination/steps/step_rows.py
+++ b/quetzalcourse/coordination/steps/step_rows.py
@@ -89,7 +89,7 @@
     """Refuse because the platform's store did not answer."""
     return Refusal(
         RefusalCode.store_unavailable,
-        "The platform's store did not answer; retry the request.",
+        "The platform's store gave no answer; ask again.",
         not_run=False,
         retry_after=STORE_RETRY_AFTER,
         step=fault.step if fault else 'step',
--- a/quetzalcourse/coordination/steps/step_service.py
+++ b/quetzalcourse/coordination/steps/step_service.py
@@ -273,7 +273,7 @@
 def _refuse_conflict(spec: StepSpec) -> Refusal:
     return Refusal(
         RefusalCode.conflict,
-        f'Step {spec.step} already exists with a different body.',
+        f'Step {spec.step} was created with another body.',
         not_run=True,
         step='create step',
     )
--- a/quetzalcourse/platform/upstreams.py
+++ b/quetzalcourse/platform/upstreams.py
@@ -44,7 +44,9 @@
     ) -> list[tuple[str, str]]:
         """Build the headers of a client's request to a server."""
         dropped = (
-            HOP_BY_HOP | RESERVED_HEADERS | list_connection_headers(head.headers)
+            HOP_BY_HOP
+            | RESERVED_HEADERS
+            | list_connection_headers(head.headers)
         )
         kept = [pair for pair in head.headers if pair[0] not in dropped]
         return kept + _write_metadata(terms)
