--- a/quetzalcourse/coordination/versions/__init__.py
+++ b/quetzalcourse/coordination/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Bringing named weight versions onto the upstreams."""
+"""Loads of named weight versions on the upstreams."""
--- a/quetzalcourse/coordination/versions/load_controller.py
+++ b/quetzalcourse/coordination/versions/load_controller.py
@@ -1,4 +1,4 @@
-"""Orders upstreams to load named weight versions, one holder at a time."""
+"""Orders upstreams to load named weight versions, under a lease."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
     from quetzalcourse.state.counters import Counters
     from quetzalcourse.state.routing import Service
 
-# Named versions and ended loads wake at once; this is for upstreams that
-# come and go, and for a lease that was just taken.
+# Named versions and ended loads wake the loop at once; this interval is for
+# upstreams that join or leave, and for a lease that was just acquired.
 PLAN_INTERVAL = timedelta(milliseconds=250)
-# Hundreds of daemons never hold the lease; whoever takes it is woken.
+# Hundreds of daemons never hold the lease; acquiring it wakes the loop.
 IDLE_INTERVAL = timedelta(seconds=2)
-# Each load that ends asks for a new plan of all upstreams; a pause that grows
-# with them keeps plans from taking the time of everything else.
+# Each load that ends triggers a new plan of all upstreams; a delay that grows
+# with their number keeps planning from starving everything else.
 PLAN_DELAY_PER_UPSTREAM = timedelta(microseconds=100)
-# A load takes 0.9 s; asking sooner costs a probe and tells nothing.
+# A load takes 0.9 s; polling sooner costs a request and can't succeed.
 LOAD_DURATION = timedelta(milliseconds=850)
 POLL_INTERVAL = timedelta(milliseconds=200)
-# A load that is not over by then was refused, or its order never arrived.
+# A load that has not ended by then was refused, or its order was lost.
 LOAD_TIMEOUT = timedelta(seconds=4)
-# An upstream whose order failed is left alone for as long, so that others
+# An upstream whose order failed gets no orders for this time, so that others
 # load in its place.
 FAILED_ORDER_BACKOFF = timedelta(seconds=1)
 log = get_log('versions')
 
 
 class OrderOutcome(enum.StrEnum):
-    """What an upstream said of an order."""
+    """Answer of an upstream to a load order."""
 
     accepted = 'accepted'
     holds = 'holds'
@@ -60,11 +60,11 @@
 class LoadOrder:
     """Order to load a version.
 
-    :param sequence: orders that the upstream must have accepted before; a
-        lost order that arrives late fails by it.
+    :param sequence: number of orders that the upstream must have accepted
+        before; an order that arrives late fails this check.
     :param token: fencing token of the holder's lease.
-    :param carry_over: whether running requests go on under the new version;
-        otherwise they end first.
+    :param carry_over: whether running requests continue under the new version;
+        otherwise they finish first.
     """
 
     load: WeightLoad
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamReport:
-    """What an upstream says of itself, some hundred milliseconds late."""
+    """Status of an upstream, some hundred milliseconds old."""
 
     versions: dict[str, int]
     sequence: int
@@ -84,32 +84,32 @@
 
 
 class UpstreamControl(Protocol):
-    """Orders to upstreams and reports from them."""
+    """Control interface of upstreams: load orders and status reports."""
 
     async def order(self, upstream: Upstream, order: LoadOrder) -> OrderOutcome:
-        """Give an order."""
+        """Send an order."""
 
     async def report(self, upstream: Upstream) -> UpstreamReport | None:
-        """Ask an upstream about itself, ``None`` if it does not say."""
+        """Read the status of an upstream, ``None`` if it does not answer."""
 
 
 class LoadListener(Protocol):
-    """Wants to know of loads of weights."""
+    """Listener for weight loads."""
 
     def on_loads_started(
         self, loads: list[WeightLoad], duration: timedelta
     ) -> None:
-        """Learn of loads that begin now.
+        """Handle loads that start now.
 
-        :param duration: how long they are expected to take.
+        :param duration: expected duration of each load.
         """
 
     def on_load_done(self, load: WeightLoad) -> None:
-        """Learn that an upstream holds a version."""
+        """Handle a load that has succeeded."""
 
 
 class LoadController:
-    """Brings named versions onto the upstreams while it holds the lease.
+    """Loads named versions on the upstreams while it holds the lease.
 
     :param holder: name of this VM.
     """
@@ -124,7 +124,7 @@
         counters: Counters,
         holder: str,
     ) -> None:
-        """Begin without a named version."""
+        """Initialise without named versions."""
         self.named: dict[str, int] = {}
         self._control = control
         self._lease = lease
@@ -142,22 +142,22 @@
         self._listeners: list[LoadListener] = []
 
     def on_loads(self, listener: LoadListener) -> None:
-        """Tell a listener of loads that begin and that end well."""
+        """Call a listener for loads that start and loads that succeed."""
         self._listeners.append(listener)
 
     def on_named(self, model: str, version: int) -> None:
-        """Learn the newest named version of a model."""
+        """Record the newest named version of a model."""
         if version > self.named.get(model, 0):
             self.named[model] = version
-            log.info('Version is named.', model=model, version=version)
+            log.info('New weight version named.', model=model, version=version)
             self._wake.set()
 
     def on_lease(self) -> None:
-        """Learn that this daemon has just taken the lease."""
+        """Plan at once, since this daemon has just acquired the lease."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Give orders until the task is cancelled."""
+        """Plan and order loads until the task is cancelled."""
         while True:
             self._wake.clear()
             if self._lease.may_send:
@@ -248,7 +248,7 @@
         outcome = await self._control.order(upstream, order)
         self._counters.add('load_orders', outcome=outcome.value)
         log.info(
-            'Version is ordered.',
+            'Sent a load order.',
             upstream=load.upstream,
             model=load.model,
             version=load.version,
@@ -297,7 +297,7 @@
         return report.sequence
 
     def _requires_single_version(self, service: Service) -> bool:
-        """Tell whether a route forbids to mix versions in one answer."""
+        """Tell whether a route of the service forbids mixed versions."""
         manifest = self._routes.manifest
         routes = manifest.routes if manifest else ()
         return any(
--- a/quetzalcourse/coordination/versions/load_plan.py
+++ b/quetzalcourse/coordination/versions/load_plan.py
@@ -1,14 +1,13 @@
-"""Which upstreams load a named weight version, and when.
-
-The load that this answers: every few seconds each of several models gets a
-new version, and a step of version k may use k - 1. Were every upstream to
-load every version, loads would take longer than the time between versions.
-So each version goes to a share of the upstreams only, those that are
-furthest behind first: half of a model's upstreams then serve a new step at
-once with the version before, while the other half load. Where all models
-submit at the same moment, an upstream that none of them may use stands idle
-while items wait for the others; so a version goes first to upstreams that
-fit the fewest other models.
+"""Plans which upstreams load a named weight version, and when.
+
+Every few seconds each of several models gets a new version, and a step of
+version k may use k - 1. If every upstream loaded every version, the loads
+would take longer than the time between versions. So each version goes to a
+share of the upstreams only, those that are furthest behind first: half of a
+model's upstreams then serve a new step at once with the previous version,
+while the other half load. When all models submit at the same time, an upstream
+that none of them may use is idle while items wait for the others; so a version
+goes first to the upstreams that are usable by the fewest other models.
 """
 
 from __future__ import annotations
@@ -20,17 +19,17 @@
     from collections.abc import Mapping, Sequence
     from collections.abc import Set as AbstractSet
 
-# Loads slow each other down when more than two fifths of a service's
-# upstreams load at once: 2 of 5 or 6, 9 of 23 by the users' sheets.
+# Loads slow each other down if more than two fifths of a service's upstreams
+# load at once: 2 of 5 or 6, 9 of 23 by the users' data sheets.
 MAX_LOADING_SHARE = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamVersions:
-    """An upstream as the plan sees it.
+    """Weight versions of an upstream.
 
-    :param versions: weight version of each model.
-    :param loading: model that it loads now, empty if none.
+    :param versions: weight version by model.
+    :param loading: model that it is loading, empty if none.
     """
 
     name: str
@@ -51,9 +50,9 @@
     upstreams: Sequence[UpstreamVersions],
     named: Mapping[str, int],
 ) -> list[WeightLoad]:
-    """Choose the loads to begin now.
+    """Choose the loads to start now.
 
-    :param upstreams: upstreams of one service that take work.
+    :param upstreams: upstreams of one service that accept work.
     :param named: newest named version of each of its models.
     """
     busy = {view.name for view in upstreams if view.loading}
@@ -79,7 +78,7 @@
 def count_usable_models(
     view: UpstreamVersions, named: Mapping[str, int]
 ) -> int:
-    """Count the models whose newest step an upstream may run."""
+    """Count the models whose newest step may use an upstream."""
     return sum(
         _holds(view, model, version - 1) for model, version in named.items()
     )
@@ -93,12 +92,12 @@
     busy: AbstractSet[str],
     uses: Mapping[str, int],
 ) -> list[str]:
-    """List the upstreams that should load a version, first those far behind.
+    """List the upstreams that should load a version, furthest behind first.
 
-    :param target_count: how many upstreams should hold it.
-    :param busy: upstreams that load already; waiting for one of them while
-        others are free would leave loads unused.
-    :param uses: models whose newest step each upstream may run.
+    :param target_count: number of upstreams that should hold the version.
+    :param busy: upstreams that are loading. They come last: waiting for one
+        of them while others are free would waste loads.
+    :param uses: number of models whose newest step may use each upstream.
     """
     behind = [view for view in upstreams if not _holds(view, model, version)]
     current = len(upstreams) - len(behind)
@@ -114,7 +113,7 @@
 
 
 def _holds(view: UpstreamVersions, model: str, version: int) -> bool:
-    """Tell whether an upstream has a version or is loading it."""
+    """Tell whether an upstream holds a version or is loading it."""
     return view.versions.get(model, 0) >= version or view.loading == model
 
 
--- a/quetzalcourse/coordination/versions/load_updates.py
+++ b/quetzalcourse/coordination/versions/load_updates.py
@@ -1,10 +1,10 @@
-"""Tells the daemons that run batches which upstreams load weights.
+"""Notifies the daemons that run batches of weight loads.
 
-The load that this answers: a version is named, and within the same moment
-its step is submitted. Half of the upstreams begin to load it and refuse the
-step's items for a second; a coordinator that did not know sent dozens of items
-there, each of which lost a connection and its place, and learned of the
-loaded weights only with the upstream's next entry in the store, a second
+A version is named, and its step is submitted at the same time. Half of the
+upstreams start to load it and refuse the step's items for a second. A
+coordinator without these updates would send dozens of items there, each of
+which would lose a connection and its place in the order, and would see the
+loaded weights only with the upstream's next registration in the store, a second
 after they could be used.
 """
 
@@ -28,9 +28,9 @@
 
 
 class LoadsUpdate(msgspec.Struct, frozen=True):
-    """Loads of weights that begin, or that ended well.
+    """Loads of weights that start, or that have succeeded.
 
-    :param seconds: how long they are expected to take, 0 for ended ones.
+    :param seconds: expected duration, 0 for loads that have succeeded.
     """
 
     loads: list[WeightLoad]
@@ -38,12 +38,12 @@
 
 
 class LoadUpdates:
-    """Passes on loads from the daemon that orders them."""
+    """Broadcasts weight loads from the daemon that orders them."""
 
     def __init__(
         self, coordinators: CoordinatorList, pool: Pool, peers: Peers
     ) -> None:
-        """Listen to the daemon that gives orders."""
+        """Subscribe to the updates of the daemon that orders loads."""
         self._coordinators = coordinators
         self._pool = pool
         self._peers = peers
@@ -52,18 +52,18 @@
     def on_loads_started(
         self, loads: list[WeightLoad], duration: timedelta
     ) -> None:
-        """Tell of loads that begin here.
+        """Broadcast loads that start.
 
-        :param duration: how long they are expected to take.
+        :param duration: expected duration of each load.
         """
         self._broadcast(LoadsUpdate(loads, duration.total_seconds()))
 
     def on_load_done(self, load: WeightLoad) -> None:
-        """Tell that an upstream holds a version."""
+        """Broadcast that an upstream holds a version."""
         self._broadcast(LoadsUpdate([load], 0))
 
     def on_message(self, _: Member, content: bytes) -> None:
-        """Take the word of the daemon that gives orders."""
+        """Apply an update of the daemon that orders loads."""
         self._apply(msgspec.msgpack.decode(content, type=LoadsUpdate))
 
     def _broadcast(self, update: LoadsUpdate) -> None:
