--- a/quetzalcourse/coordination/duties/__init__.py
+++ b/quetzalcourse/coordination/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What one daemon at a time does for all of them."""
+"""Singleton tasks, which run on the one daemon that holds the lease."""
--- a/quetzalcourse/coordination/duties/usage_windows.py
+++ b/quetzalcourse/coordination/duties/usage_windows.py
@@ -1,4 +1,4 @@
-"""Usage by window: counted by every daemon, reported by one."""
+"""Counts usage by time window on every daemon, and reports it from one."""
 
 from __future__ import annotations
 
@@ -23,23 +23,24 @@
     from quetzalcourse.state.clock import Clock
     from quetzalcourse.state.counters import Counters
 
-# Windows that a daemon keeps counts of; the oldest of them was reported
-# long ago, or is too late to be of use.
+# Number of windows for which a daemon keeps counts; an older one was reported
+# long ago, or its report would be too late to be of use.
 MAX_WINDOWS = 5
-# Counts are told within a quarter of a second of the request, and a slow
-# write takes another third.
+# Counts are published within a quarter of a second of the request, and a slow
+# write takes another third of a second.
 SETTLE_TIME = timedelta(seconds=1.5)
 REPORT_INTERVAL = timedelta(milliseconds=250)
-# Reports that are older than due by this much are given up.
+# A report that is overdue by more than this is abandoned.
 MAX_REPORT_DELAY = timedelta(seconds=30)
 log = get_log('usage')
 
 
 @dataclass(frozen=True, slots=True)
 class WindowReport:
-    """Figures of one window, the same whoever sends them.
+    """Counts of one window, identical for every sender.
 
-    :param number: windows since the epoch.
+    :param number: number of the window since the epoch.
+    :param counts: requests by client account.
     """
 
     number: int
@@ -47,21 +48,21 @@
 
 
 class UsageReportSender(Protocol):
-    """Where usage is reported."""
+    """Sends usage reports to the platform."""
 
     async def send(self, report: WindowReport, token: int) -> bool:
         """Send a report.
 
         :param token: fencing token of the sender's lease.
-        :returns: whether it was certainly taken.
+        :returns: whether it was certainly accepted.
         """
 
 
 class WindowCounts:
-    """Requests that ran through this daemon, by window and account.
+    """Counts of the requests that this daemon served, by window and account.
 
     :param length: length of a window.
-    :param on_count: called when a count has changed.
+    :param on_count: called after each change of a count.
     """
 
     def __init__(
@@ -70,14 +71,14 @@
         length: timedelta,
         on_count: Callable[[], None],
     ) -> None:
-        """Begin with nothing counted."""
+        """Initialise without counts."""
         self._clock = clock
         self._length = length
         self._on_count = on_count
         self._windows: dict[int, Counter[str]] = {}
 
     def find_current_window(self) -> int:
-        """Tell the number of the window that is open now."""
+        """Compute the number of the current window."""
         return (self._clock.now() - EPOCH) // self._length
 
     def record(self, client_account: str) -> None:
@@ -91,13 +92,13 @@
         self._on_count()
 
     def restore(self, usage: dict[str, dict[str, int]]) -> None:
-        """Go on with the counts of the run before on the same VM."""
+        """Add the counts of the previous run on the same VM."""
         for window, counts in usage.items():
             kept = self._windows.setdefault(int(window), Counter())
             kept.update(counts)
 
     def describe(self) -> dict[str, dict[str, int]]:
-        """Give the counts for the daemon's row."""
+        """Return the counts for the presence row of the daemon."""
         oldest = self.find_current_window() - MAX_WINDOWS
         return {
             str(window): dict(counts)
@@ -107,11 +108,11 @@
 
 
 class WindowReporter:
-    """Reports each window once it is over, while it holds the lease.
+    """Reports each window after its end, while this daemon holds the lease.
 
-    A window's figures are first written to the table, where they can't
-    change any more; only what stands there is sent, so that every report
-    of a window is the same, whoever sends it again.
+    The counts of a window are first written to the table, once and for all.
+    Only the stored counts are sent, so that all reports of a window are
+    identical, even if another daemon sends them again.
     """
 
     def __init__(
@@ -125,7 +126,7 @@
         length: timedelta,
         due: timedelta,
     ) -> None:
-        """Begin with the window that is open."""
+        """Start with the oldest window that may be due."""
         self._presence = presence
         self._table = table
         self._reports = reports
@@ -135,8 +136,8 @@
         self._length = length
         self._due = due
         self._sent: set[int] = set()
-        # Windows that ended before this run began may still be unreported:
-        # whoever held the duty then may be gone.
+        # Windows that ended before this run started may still be unreported:
+        # the former lease holder may have failed.
         self._first_window = (clock.now() - EPOCH - due) // length
 
     async def run(self) -> None:
@@ -162,7 +163,7 @@
         taken = await self._reports.send(report, self._lease.token)
         self._counters.add('usage_reports', taken=str(taken))
         log.info(
-            'Usage is reported.',
+            'Sent a usage report.',
             window=window,
             requests=sum(report.counts.values()),
             taken=taken,
