--- a/quetzalcourse/tests/coordination/versions/load_plan_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_plan_tests.py
@@ -51,7 +51,7 @@
     ('count', 'models', 'most_rounds'),
     [(6, 2, 3), (5, 3, 3), (23, 4, 3), (1, 1, 1), (2, 1, 2)],
 )
-def test_each_step_finds_upstreams_at_once_and_after_its_loads(
+def test_each_step_has_upstreams_before_and_after_its_loads(
     count: int,
     models: int,
     most_rounds: int,
@@ -76,7 +76,7 @@
             assert len(current) == -(-count // models)
 
 
-def test_no_more_load_at_once_than_go_without_slowing() -> None:
+def test_concurrent_loads_are_limited() -> None:
     # Five upstreams load at the same time and each takes twice as long.
     views = build_views(6, ('a', 'b'))
     assert len(plan_loads(views, {'a': 2, 'b': 2})) == 2
@@ -84,7 +84,7 @@
     assert len(plan_loads(busy, {'a': 2, 'b': 2})) == 1
 
 
-def test_those_furthest_behind_load_first() -> None:
+def test_upstream_furthest_behind_loads_first() -> None:
     # An upstream two versions behind serves no step; one that is one behind
     # still does, and loading there would take it out.
     views = [
@@ -95,20 +95,20 @@
     assert plan_loads(views, {'a': 5}) == [WeightLoad('far', 'a', 5)]
 
 
-def test_model_with_fewest_upstreams_goes_first() -> None:
+def test_model_with_fewest_upstreams_is_planned_first() -> None:
     # One model's steps have upstreams and another's have none left.
     views = [UpstreamVersions(f'e-{n}', {'a': 4, 'b': 1}) for n in range(2)]
     assert plan_loads(views, {'a': 5, 'b': 5})[0].model == 'b'
 
 
-def test_nothing_is_loaded_twice() -> None:
+def test_running_load_is_not_planned_again() -> None:
     """A load that runs counts as done."""
     views = [UpstreamVersions('e-0', {'a': 1}, 'a')]
     assert not plan_loads(views, {'a': 2})
 
 
 @pytest.mark.parametrize(('count', 'models'), [(18, 4), (23, 4), (6, 2)])
-def test_no_upstream_stands_idle_in_a_burst(count: int, models: int) -> None:
+def test_no_upstream_is_idle_in_a_burst(count: int, models: int) -> None:
     # All models submit their steps at the same moment, twice as many items
     # as there are slots. Versions had gone to the same upstreams one after
     # the other: of 18, four might run no model at all and five only one,
--- a/quetzalcourse/tests/coordination/versions/load_updates_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_updates_tests.py
@@ -73,7 +73,7 @@
         }
 
 
-async def test_items_avoid_upstreams_that_load() -> None:
+async def test_loading_upstreams_are_not_eligible() -> None:
     # A version is named in the moment in which its step is submitted, and
     # half of the upstreams begin to load it. Each item that is sent there is
     # refused, and the longest of the step begins seconds late.
@@ -89,7 +89,7 @@
     )
 
 
-async def test_loaded_weights_are_used_at_once() -> None:
+async def test_loaded_weights_are_eligible_at_once() -> None:
     # The upstream's own entry tells of its new weights up to a second after
     # it could be used; until then its slots would stand idle.
     world = World()
@@ -101,7 +101,7 @@
     assert world.list_eligible(NEWEST) == {world.loads[0].upstream}
 
 
-async def test_load_that_is_never_told_done_is_over_some_day() -> None:
+async def test_load_without_an_end_update_expires() -> None:
     # The daemon that gave the order dies. Its upstreams would be taken for
     # loading for ever.
     world = World()
