--- a/quetzalcourse/tests/coordination/versions/load_plan_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_plan_tests.py
@@ -1,4 +1,4 @@
-"""Which upstreams load which version, replayed over many namings."""
+"""Tests of the load plan over many named versions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def apply_loads(
     views: list[UpstreamVersions], loads: list[WeightLoad]
 ) -> list[UpstreamVersions]:
-    """Show upstreams after their loads."""
+    """Return the upstreams after their loads."""
     versions = {view.name: dict(view.versions) for view in views}
     for load in loads:
         versions[load.upstream][load.model] = load.version
@@ -36,9 +36,9 @@
     views: list[UpstreamVersions],
     named: dict[str, int],
 ) -> tuple[list[UpstreamVersions], int]:
-    """Load in rounds until nothing is left to load.
+    """Carry out plans until there is nothing to load.
 
-    :returns: the upstreams, and how many rounds that took.
+    :returns: the upstreams, and the number of rounds.
     """
     rounds = 0
     while loads := plan_loads(views, named):
@@ -57,9 +57,9 @@
     most_rounds: int,
 ) -> None:
     # Versions of several models are named every few seconds, and a step may
-    # use its own and the one before. Were all upstreams to load each, loads
-    # would take longer than the time between versions, and were none to
-    # hold the version before, a step would wait for its first load.
+    # use its own and the previous one. If all upstreams loaded each version,
+    # the loads would take longer than the time between versions; if none held
+    # the previous version, a step would wait for its first load.
     names = tuple(f'm-{number}' for number in range(models))
     views = build_views(count, names)
     for version in range(2, STEPS):
@@ -77,7 +77,7 @@
 
 
 def test_concurrent_loads_are_limited() -> None:
-    # Five upstreams load at the same time and each takes twice as long.
+    # If five upstreams load at the same time, each takes twice as long.
     views = build_views(6, ('a', 'b'))
     assert len(plan_loads(views, {'a': 2, 'b': 2})) == 2
     busy = [UpstreamVersions('e-00', {'a': 1, 'b': 1}, 'a'), *views[1:]]
@@ -85,8 +85,8 @@
 
 
 def test_upstream_furthest_behind_loads_first() -> None:
-    # An upstream two versions behind serves no step; one that is one behind
-    # still does, and loading there would take it out.
+    # An upstream two versions behind serves no step. One that is one version
+    # behind still does, and a load would make it unavailable.
     views = [
         UpstreamVersions('near', {'a': 4}),
         UpstreamVersions('far', {'a': 2}),
@@ -96,23 +96,23 @@
 
 
 def test_model_with_fewest_upstreams_is_planned_first() -> None:
-    # One model's steps have upstreams and another's have none left.
+    # The steps of one model have upstreams, those of the other have none.
     views = [UpstreamVersions(f'e-{n}', {'a': 4, 'b': 1}) for n in range(2)]
     assert plan_loads(views, {'a': 5, 'b': 5})[0].model == 'b'
 
 
 def test_running_load_is_not_planned_again() -> None:
-    """A load that runs counts as done."""
+    """A running load counts as done."""
     views = [UpstreamVersions('e-0', {'a': 1}, 'a')]
     assert not plan_loads(views, {'a': 2})
 
 
 @pytest.mark.parametrize(('count', 'models'), [(18, 4), (23, 4), (6, 2)])
 def test_no_upstream_is_idle_in_a_burst(count: int, models: int) -> None:
-    # All models submit their steps at the same moment, twice as many items
-    # as there are slots. Versions had gone to the same upstreams one after
-    # the other: of 18, four might run no model at all and five only one,
-    # while items waited for the rest.
+    # All models submit their steps at the same time, twice as many items as
+    # there are slots. If versions go to the same upstreams one after the
+    # other, then of 18 upstreams four can run no model at all and five only
+    # one, while items wait for the rest.
     names = tuple(f'm-{number}' for number in range(models))
     views = build_views(count, names)
     named = dict.fromkeys(names, 1)
--- a/quetzalcourse/tests/coordination/versions/load_updates_tests.py
+++ b/quetzalcourse/tests/coordination/versions/load_updates_tests.py
@@ -1,4 +1,4 @@
-"""What the daemons that run batches know of loads of weights."""
+"""Tests that the daemons that run batches follow weight loads."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     """The daemon that orders loads, and one that runs batches."""
 
     def __init__(self) -> None:
-        """Begin with upstreams that hold the first version."""
+        """Start with upstreams that hold the first version."""
         self.clock = FakeClock()
         self.network = FakeNetwork()
         self.pool = Pool('hall-a', self.clock, Counters())
@@ -67,16 +67,16 @@
         )
 
     def list_eligible(self, need: PlacementRequest) -> set[str]:
-        """Name the upstreams where an item may run."""
+        """Return the names of the upstreams where an item may run."""
         return {
             upstream.name for upstream in self.placement.list_eligible(need)
         }
 
 
 async def test_loading_upstreams_are_not_eligible() -> None:
-    # A version is named in the moment in which its step is submitted, and
-    # half of the upstreams begin to load it. Each item that is sent there is
-    # refused, and the longest of the step begins seconds late.
+    # A version is named when its step is submitted, and half of the upstreams
+    # start to load it. Each item that is sent there is refused, and the
+    # longest item of the step starts seconds late.
     world = World()
     world.holder.on_loads_started(world.loads, LOAD_TIME)
     await settle()
@@ -90,8 +90,8 @@
 
 
 async def test_loaded_weights_are_eligible_at_once() -> None:
-    # The upstream's own entry tells of its new weights up to a second after
-    # it could be used; until then its slots would stand idle.
+    # The upstream's own registration shows its new weights up to a second
+    # after they could be used; until then its slots would be idle.
     world = World()
     world.holder.on_loads_started(world.loads, LOAD_TIME)
     await settle()
@@ -102,8 +102,8 @@
 
 
 async def test_load_without_an_end_update_expires() -> None:
-    # The daemon that gave the order dies. Its upstreams would be taken for
-    # loading for ever.
+    # The daemon that sent the order dies. Without expiry its upstreams would
+    # count as loading forever.
     world = World()
     world.holder.on_loads_started(world.loads, LOAD_TIME)
     await settle()
