--- a/quetzalcourse/protocol/__init__.py
+++ b/quetzalcourse/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages on the wire, to and from the data classes of state."""
+"""Wire messages and their conversion to and from the state classes."""
--- a/quetzalcourse/protocol/callers.py
+++ b/quetzalcourse/protocol/callers.py
@@ -1,4 +1,4 @@
-"""Messages to and from callers, in OpenAI's published shape and our own."""
+"""Messages of callers: OpenAI's API format, and steps of trainers."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 import msgspec
 
-MAX_TOKENS_DEFAULT = 256
+DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS_LIMIT = 1_000_000
-MAX_TIMEOUT = 86_400.0
+MAX_TIMEOUT_SECONDS = 86_400.0
 
 TokenLimit = Annotated[int, msgspec.Meta(gt=0, le=MAX_TOKENS_LIMIT)]
-TimeoutSeconds = Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT)]
+TimeoutSeconds = Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT_SECONDS)]
 ModelName = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
-STEP_LIMIT = 10**12
-SAMPLE_LIMIT = 65536
-DEADLINE_LIMIT = 86400
+STEP_NUMBER_LIMIT = 10**12
+MAX_SAMPLES_PER_STEP = 65536
+MAX_DEADLINE_SECONDS = 86400
 
 
 class CompletionBody(msgspec.Struct):
     """Body of ``/v1/completions``.
 
-    :param timeout_seconds: how long the caller waits at most.
+    :param timeout_seconds: maximum time that the caller waits.
     """
 
     model: ModelName
     prompt: str
-    max_tokens: TokenLimit = MAX_TOKENS_DEFAULT
+    max_tokens: TokenLimit = DEFAULT_MAX_TOKENS
     stream: bool = False
     seed: int = 0
     adapter: str = ''
@@ -46,7 +46,7 @@
 
     model: ModelName
     messages: Annotated[list[ChatMessage], msgspec.Meta(min_length=1)]
-    max_tokens: TokenLimit = MAX_TOKENS_DEFAULT
+    max_tokens: TokenLimit = DEFAULT_MAX_TOKENS
     stream: bool = False
     seed: int = 0
     adapter: str = ''
@@ -55,9 +55,9 @@
 
 
 class StepBody(msgspec.Struct):
-    """Body that creates a step.
+    """Request body that creates a step.
 
-    :param prompts: a prompt for each group of samples.
+    :param prompts: one prompt per group of samples.
     """
 
     trainer: str
@@ -65,15 +65,15 @@
     prompts: list[str]
     samples_per_group: int
     weight_version: int
-    max_tokens: int = MAX_TOKENS_DEFAULT
+    max_tokens: int = DEFAULT_MAX_TOKENS
     staleness_bound: int | None = None
     deadline_seconds: float = 660.0
 
 
 class StepResponse(msgspec.Struct):
-    """Answer to the creation of a step.
+    """Response to the creation of a step.
 
-    :param total: samples that make the step whole.
+    :param total: number of samples of the complete step.
     """
 
     trainer: str
@@ -82,28 +82,31 @@
 
 
 class AcknowledgeBody(msgspec.Struct):
-    """Body that acknowledges the batches before a cursor."""
+    """Request body that acknowledges the batches before a cursor."""
 
     cursor: int
 
 
 def render_chat(messages: list[ChatMessage]) -> str:
-    """Write a chat as the prompt that engines run."""
+    """Render a chat as a prompt for engines."""
     lines = [f'{message.role}: {message.content}' for message in messages]
     lines.append('assistant:')
     return '\n'.join(lines)
 
 
 def find_step_faults(body: StepBody) -> list[str]:
-    """List what is wrong with a step that a trainer asked for."""
+    """Validate a step and list its faults."""
     rules = (
         (body.step >= 0, 'step: must not be negative'),
-        (body.step < STEP_LIMIT, f'step: must be below {STEP_LIMIT}'),
+        (
+            body.step < STEP_NUMBER_LIMIT,
+            f'step: must be below {STEP_NUMBER_LIMIT}',
+        ),
         (bool(body.prompts), 'prompts: must not be empty'),
         (body.samples_per_group > 0, 'samples_per_group: must be above 0'),
         (
-            len(body.prompts) * body.samples_per_group <= SAMPLE_LIMIT,
-            f'samples_per_group: at most {SAMPLE_LIMIT} samples a step',
+            len(body.prompts) * body.samples_per_group <= MAX_SAMPLES_PER_STEP,
+            f'samples_per_group: at most {MAX_SAMPLES_PER_STEP} samples a step',
         ),
         (body.max_tokens > 0, 'max_tokens: must be above 0'),
         (body.weight_version >= 0, 'weight_version: must not be negative'),
@@ -112,8 +115,9 @@
             'staleness_bound: must not be negative',
         ),
         (
-            0 < body.deadline_seconds <= DEADLINE_LIMIT,
-            f'deadline_seconds: must be above 0 and up to {DEADLINE_LIMIT}',
+            0 < body.deadline_seconds <= MAX_DEADLINE_SECONDS,
+            'deadline_seconds: must be above 0 and '
+            f'up to {MAX_DEADLINE_SECONDS}',
         ),
     )
     return [fault for holds, fault in rules if not holds]
--- a/quetzalcourse/protocol/completions.py
+++ b/quetzalcourse/protocol/completions.py
@@ -1,4 +1,4 @@
-"""Answers to completion requests, in OpenAI's published shape."""
+"""Responses to completion requests, in OpenAI's API format."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ResponseFormat(enum.StrEnum):
-    """Which of the two published shapes an answer has."""
+    """Response format: text completion or chat completion."""
 
     text = 'text_completion'
     chat = 'chat.completion'
 
 
 class Usage(msgspec.Struct):
-    """Tokens of a request."""
+    """Token counts of a request."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -27,14 +27,14 @@
 
 
 class ResponseMessage(msgspec.Struct, omit_defaults=True):
-    """Message of a chat answer, whole or as a piece."""
+    """Message of a chat response, complete or as a delta."""
 
     content: str
     role: str = ''
 
 
 class Choice(msgspec.Struct, omit_defaults=True):
-    """The one choice of an answer."""
+    """The only choice of a response."""
 
     index: int
     finish_reason: str | None
@@ -44,9 +44,9 @@
 
 
 class CompletionResponse(msgspec.Struct, omit_defaults=True):
-    """Answer, whole or one event of a stream.
+    """Complete response, or one event of a stream.
 
-    :param weight_versions: versions that made the tokens.
+    :param weight_versions: weight versions that generated the tokens.
     """
 
     id: str
@@ -59,51 +59,53 @@
 
 
 class ResponseWriter:
-    """Writes the answers to one request.
+    """Encodes the responses to one request.
 
-    :param request: what the caller asked for.
-    :param shape: shape that the caller's path implies.
-    :param created: seconds since 1970 at which the request came.
+    :param request: the caller's request.
+    :param response_format: format that the request path implies.
+    :param created: time of the request in seconds since the Unix epoch.
     """
 
     def __init__(
         self,
         request: GenerationRequest,
-        shape: ResponseFormat,
+        response_format: ResponseFormat,
         created: int,
     ) -> None:
-        """Keep what is the same in every event."""
+        """Store the fields that every event shares."""
         self._request = request
-        self._shape = shape
+        self._response_format = response_format
         self._created = created
 
     def encode_whole(self, chunks: list[Chunk]) -> bytes:
-        """Write the answer in one piece."""
+        """Encode the complete response."""
         text = ''.join(token for chunk in chunks for token in chunk.tokens)
         generated = sum(len(chunk.tokens) for chunk in chunks)
         prompt_tokens = chunks[-1].prompt_tokens
         choice = Choice(0, chunks[-1].finish_reason)
-        if self._shape is ResponseFormat.chat:
+        if self._response_format is ResponseFormat.chat:
             choice.message = ResponseMessage(text, 'assistant')
         else:
             choice.text = text
         versions = sorted({chunk.weight_version for chunk in chunks} - {0})
         usage = Usage(prompt_tokens, generated, prompt_tokens + generated)
-        return self._encode(choice, versions, usage, self._shape.value)
+        return self._encode(
+            choice, versions, usage, self._response_format.value
+        )
 
     def encode_chunk(self, chunk: Chunk) -> bytes:
-        """Write one event of a stream."""
+        """Encode one event of a stream."""
         text = ''.join(chunk.tokens)
         choice = Choice(0, chunk.finish_reason or None)
-        kind = self._shape.value
-        if self._shape is ResponseFormat.chat:
+        kind = self._response_format.value
+        if self._response_format is ResponseFormat.chat:
             role = 'assistant' if chunk.offset == 0 else ''
             choice.delta = ResponseMessage(text, role)
             kind = 'chat.completion.chunk'
         else:
             choice.text = text
-        named = [chunk.weight_version] if chunk.weight_version else []
-        return self._encode(choice, named, None, kind)
+        versions = [chunk.weight_version] if chunk.weight_version else []
+        return self._encode(choice, versions, None, kind)
 
     def _encode(
         self,
--- a/quetzalcourse/protocol/engines.py
+++ b/quetzalcourse/protocol/engines.py
@@ -1,4 +1,4 @@
-"""Messages to and from engines."""
+"""Messages of the engines' API."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class EngineRequest(msgspec.Struct):
-    """Request for tokens.
+    """Generation request.
 
-    :param resume_tokens: tokens already generated, to go on behind them.
-    :param timeout_seconds: time after which nobody waits for the answer.
+    :param resume_tokens: tokens already generated, to resume after.
+    :param timeout_seconds: time after which the caller stops waiting.
     """
 
     request_id: str
@@ -32,7 +32,7 @@
 
 
 class EngineChunk(msgspec.Struct):
-    """Tokens that an engine sends together."""
+    """Tokens that an engine sends in one event."""
 
     request_id: str
     offset: int
@@ -43,13 +43,13 @@
 
 
 class EngineRefusal(msgspec.Struct):
-    """Refusal of an engine before it ran anything."""
+    """Refusal of a request that the engine did not start."""
 
     reason: str
 
 
 class LoadReport(msgspec.Struct):
-    """Load of an engine, as it was a little while ago."""
+    """Load of an engine as of its latest report, so slightly out of date."""
 
     slots: int
     running: int
@@ -64,7 +64,7 @@
 class CacheEvent(msgspec.Struct):
     """Change of an engine's prefix cache.
 
-    :param sequence: grows by one an event; a gap means lost events.
+    :param sequence: incremented by one per event; a gap means lost events.
     :param kind: ``stored`` or ``evicted``.
     """
 
@@ -79,7 +79,7 @@
     :param order_id: idempotency key.
     :param token: fencing token of the sender's lease.
     :param kind: ``load_version``, ``load_model``, ``load_adapter``, ``role``.
-    :param sender: incarnation that sent it, for the records.
+    :param sender: incarnation id of the sender, for the engine's logs.
     """
 
     order_id: str
@@ -95,10 +95,10 @@
     tokens: tuple[str, ...],
     timeout_seconds: float | None = None,
 ) -> EngineRequest:
-    """Write a request as an engine expects it; no caller's key is in it.
+    """Build an engine's request; it never contains a caller's key.
 
     :param tokens: tokens already generated.
-    :param timeout_seconds: what is left of the caller's deadline.
+    :param timeout_seconds: time left until the caller's deadline.
     """
     return EngineRequest(
         request_id=request.request_id,
@@ -114,10 +114,11 @@
 
 
 def parse_refusal(content: bytes) -> EngineRefusal | None:
-    """Read an engine's own refusal, ``None`` if the body is none.
+    """Parse a refusal by the engine itself, ``None`` for any other body.
 
-    A gateway in front of an engine answers errors as well, after the
-    engine may have begun; only the engine's own words count.
+    A gateway in front of an engine also returns errors, possibly after the
+    engine has started; only a refusal in the engine's own format proves that
+    nothing ran.
     """
     try:
         return msgspec.json.decode(content, type=EngineRefusal)
@@ -126,7 +127,7 @@
 
 
 def parse_chunk(content: bytes, upstream: str) -> Chunk:
-    """Read one chunk of an engine's stream.
+    """Parse one chunk of an engine's stream.
 
     :param upstream: name of the engine.
     """
@@ -143,7 +144,7 @@
 
 
 def build_order(order: engines.EngineOrder, sender: str) -> EngineOrder:
-    """Write an order as an engine expects it."""
+    """Build an engine's order message."""
     return EngineOrder(
         order.order_id,
         order.token,
@@ -155,7 +156,7 @@
 
 
 def read_report(message: LoadReport) -> engines.EngineReport:
-    """Read an engine's report of itself."""
+    """Convert an engine's load report."""
     return engines.EngineReport(
         message.slots,
         message.running,
@@ -169,6 +170,6 @@
 
 
 def read_change(message: CacheEvent) -> engines.CacheChange:
-    """Read a change of an engine's prefix cache."""
+    """Convert a change of an engine's prefix cache."""
     stored = message.kind == 'stored'
     return engines.CacheChange(message.sequence, stored, message.prefix)
--- a/quetzalcourse/protocol/events.py
+++ b/quetzalcourse/protocol/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as engines send them and callers read them."""
+"""Server-sent events of engines' and callers' streams."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def encode_event(content: bytes) -> bytes:
-    """Frame one JSON document as an event."""
+    """Encode a JSON document as an event."""
     return DATA_PREFIX + content + b'\n\n'
 
 
 def decode_line(line: bytes) -> bytes | None:
-    """Take the content out of a line, ``None`` if the line carries none."""
+    """Return the data of an event line, ``None`` for any other line."""
     if not line.startswith(DATA_PREFIX):
         return None
     return line[len(DATA_PREFIX) :].strip()
--- a/quetzalcourse/protocol/exposition.py
+++ b/quetzalcourse/protocol/exposition.py
@@ -1,4 +1,4 @@
-"""Events of service levels, read from the metrics of daemons."""
+"""Parsing of service level events from the metrics of daemons."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def read_events(exposition: str, events: dict[str, LevelEvents]) -> None:
-    """Add the events that one daemon tells to those of the others.
+    """Add one daemon's events to those of other daemons.
 
     :param exposition: text of the daemon's ``/metrics``.
-    :param events: events by service level, added to in place.
+    :param events: events by service level, updated in place.
     """
     for family in text_string_to_metric_families(exposition):
         for sample in family.samples:
--- a/quetzalcourse/protocol/peers.py
+++ b/quetzalcourse/protocol/peers.py
@@ -1,4 +1,4 @@
-"""Envelope of the messages between daemons."""
+"""Signed envelope of messages between daemons."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A message on its way from one daemon to another.
+    """Message from one daemon to another.
 
-    :param receiver: address it is meant for; elsewhere it is foreign.
-    :param sequence: grows with every message of the sender's incarnation.
+    :param receiver: address of the intended receiver; others drop it.
+    :param sequence: increases with every message of the sender's incarnation.
     """
 
     version: int
@@ -38,7 +38,7 @@
     content: bytes
 
     def read_sender(self) -> Member:
-        """Tell who sent the message."""
+        """Return the sender of the message."""
         return Member(
             self.vm,
             self.incarnation,
@@ -49,23 +49,23 @@
 
 
 def sign(body: bytes, secret: bytes) -> bytes:
-    """Compute the HMAC-SHA256 of a body, cut to 128 bits."""
+    """Compute the HMAC-SHA256 of a body, truncated to 128 bits."""
     return hmac.digest(secret, body, hashlib.sha256)[:MAC_BYTES]
 
 
 class EnvelopeCodec:
-    """Seals and opens envelopes.
+    """Signs and encodes envelopes, and verifies and decodes them.
 
-    A recorded message must do no harm when it is sent again: each is
-    addressed, and numbered upwards within the sender's incarnation. After a
-    restart the receiver has forgotten the numbers; what reaches it then is
-    old news that every handler has to stand anyway.
+    To make replays harmless, each message names its receiver and carries a
+    sequence number that increases within the sender's incarnation. A
+    restarted receiver has lost the sequence numbers and may accept replayed
+    messages, so every handler must tolerate outdated messages.
 
-    :param secrets: shared secrets; the first one signs, each one opens.
+    :param secrets: shared secrets; the first one signs, all are accepted.
     """
 
     def __init__(self, secrets: Sequence[bytes]) -> None:
-        """Begin with no sender heard of."""
+        """Start without known senders."""
         self._secrets = tuple(secrets)
         self._sequence = 0
         self._last_sequences: dict[str, int] = {}
@@ -78,9 +78,9 @@
         topic: Topic,
         content: bytes,
     ) -> bytes:
-        """Sign a message.
+        """Sign and encode a message.
 
-        :param receiver: address it is meant for.
+        :param receiver: address of the receiver.
         """
         self._sequence += 1
         body = msgspec.msgpack.encode(
@@ -99,14 +99,14 @@
         )
         return sign(body, self._secrets[0]) + body
 
-    def decode(self, wire: bytes, own: str) -> Result[Envelope, str]:
-        """Check a message.
+    def decode(self, message_bytes: bytes, own: str) -> Result[Envelope, str]:
+        """Verify and decode a message.
 
-        :param own: address of the receiver.
-        :returns: the envelope, or why the message is dropped.
+        :param own: this daemon's address.
+        :returns: the envelope, or the reason to drop the message.
         """
-        mac = wire[:MAC_BYTES]
-        body = wire[MAC_BYTES:]
+        mac = message_bytes[:MAC_BYTES]
+        body = message_bytes[MAC_BYTES:]
         if not self._is_signed(mac, body):
             return Err('foreign')
         try:
@@ -132,8 +132,8 @@
         self._last_sequences[envelope.incarnation] = max(
             last, envelope.sequence
         )
-        # Incarnations that ended stay in the table until newer ones push
-        # them out; without the bound it would grow with every restart.
+        # Ended incarnations stay in the table until newer ones evict them;
+        # without the limit the table would grow with every restart.
         if len(self._last_sequences) > MAX_TRACKED_SENDERS:
             self._last_sequences.pop(next(iter(self._last_sequences)))
         return envelope.sequence > last
--- a/quetzalcourse/protocol/platform.py
+++ b/quetzalcourse/protocol/platform.py
@@ -1,4 +1,4 @@
-"""Messages to and from the platform."""
+"""Messages of the platform's APIs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RowMessage(msgspec.Struct):
-    """A row on the wire."""
+    """Row of the table."""
 
     key: str
     content: bytes
@@ -16,35 +16,35 @@
 
 
 class ConditionMessage(msgspec.Struct):
-    """A condition on the wire."""
+    """Condition of a transaction."""
 
     key: str
     version: int
 
 
 class WriteMessage(msgspec.Struct):
-    """A write on the wire."""
+    """Write of a transaction."""
 
     key: str
     content: bytes | None
 
 
 class TransactionMessage(msgspec.Struct):
-    """A transaction on the wire."""
+    """Transaction on the table."""
 
     conditions: list[ConditionMessage]
     writes: list[WriteMessage]
 
 
 class CommitMessage(msgspec.Struct):
-    """The table's answer to a transaction."""
+    """Response of the table to a transaction."""
 
     applied: bool
     conflicts: list[RowMessage]
 
 
 class ScanMessage(msgspec.Struct):
-    """The table's answer to a scan."""
+    """Response of the table to a scan."""
 
     rows: list[RowMessage]
 
@@ -54,9 +54,9 @@
 
     :param order_id: idempotency key.
     :param token: fencing token of the sender's lease.
-    :param count: how many upstreams of the kind there should be.
-    :param deadline: seconds since the epoch after which it is void.
-    :param notice_seconds: time that upstreams get to drain.
+    :param count: desired number of upstreams of the kind.
+    :param deadline: expiry of the order in seconds since the epoch.
+    :param notice_seconds: time that upstreams have to drain.
     """
 
     order_id: str
@@ -70,9 +70,9 @@
 
 
 class UpstreamCount(msgspec.Struct):
-    """Upstreams of a kind in a data centre, as the platform lists them.
+    """Number of upstreams of a kind in a data centre.
 
-    :param reclaimed: whether they are about to be taken away.
+    :param reclaimed: whether the platform is about to reclaim them.
     """
 
     data_centre: str
@@ -85,7 +85,8 @@
     """Report of a usage window.
 
     :param report_id: idempotency key.
-    :param content: the frozen bytes.
+    :param content: encoded report, frozen so that every attempt sends the
+        same bytes.
     """
 
     report_id: str
@@ -96,7 +97,7 @@
 
 
 class VmEntry(msgspec.Struct):
-    """An entry VM as the platform lists it."""
+    """Entry VM in the platform's list."""
 
     vm: str
     data_centre: str
@@ -105,29 +106,30 @@
 
 
 class ScoreRequest(msgspec.Struct):
-    """Call of the scoring service."""
+    """Request to the scoring service."""
 
     sample_id: str
     text: str
 
 
 class ScoreResponse(msgspec.Struct):
-    """Answer of the scoring service."""
+    """Response of the scoring service."""
 
     score: float
 
 
 class PlatformFaults(msgspec.Struct):
-    """Fault switches of the platform's stand-in.
+    """Fault injection settings of the platform's stand-in.
 
     :param down: refuse every request.
-    :param slow_seconds: wait before each answer.
-    :param lose_answers: writes whose answer is dropped after they applied.
-    :param ignore_tokens: take orders and reports with an old token.
-    :param unavailable: kinds of upstreams that can't be had.
-    :param reclaimed: data centres whose cheap upstreams are being taken.
-    :param weight_requests: requests a second that the weight store takes;
-        0 for any number.
+    :param slow_seconds: delay of each response.
+    :param lose_answers: number of writes that are applied but whose response
+        is dropped.
+    :param ignore_tokens: accept orders and reports with a stale token.
+    :param unavailable: kinds of upstreams that cannot be allocated.
+    :param reclaimed: data centres whose cheap upstreams are being reclaimed.
+    :param weight_requests: rate limit of the weight store in requests per
+        second; 0 for no limit.
     """
 
     down: bool = False
@@ -140,7 +142,7 @@
 
 
 def pack_transaction(transaction: Transaction) -> bytes:
-    """Encode a transaction for the wire."""
+    """Encode a transaction."""
     return msgspec.json.encode(
         TransactionMessage(
             [
@@ -156,7 +158,7 @@
 
 
 def unpack_commit(content: bytes) -> TransactionResult:
-    """Read the table's answer to a transaction."""
+    """Decode the table's response to a transaction."""
     message = msgspec.json.decode(content, type=CommitMessage)
     return TransactionResult(
         message.applied,
@@ -165,5 +167,5 @@
 
 
 def unpack_row(message: RowMessage) -> Row:
-    """Turn a row on the wire into a row."""
+    """Convert a row message."""
     return Row(message.key, message.content, message.version)
--- a/quetzalcourse/protocol/refusals.py
+++ b/quetzalcourse/protocol/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them."""
+"""HTTP status, headers and JSON body of refusals."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class RefusalDetail(msgspec.Struct):
-    """What went wrong with a request."""
+    """Error of a refused request."""
 
     code: str
     message: str
@@ -47,13 +47,13 @@
 
 
 class RefusalBody(msgspec.Struct):
-    """JSON body of every refusal."""
+    """JSON body of a refusal."""
 
     error: RefusalDetail
 
 
 def encode_refusal(refusal: Refusal, request_id: str) -> bytes:
-    """Write a refusal as the JSON body of an answer."""
+    """Encode a refusal as a JSON response body."""
     return msgspec.json.encode(
         RefusalBody(
             RefusalDetail(
@@ -67,7 +67,7 @@
 
 
 def build_refusal_headers(refusal: Refusal) -> dict[str, str]:
-    """List the headers that go with a refusal."""
+    """Build the response headers of a refusal."""
     if refusal.retry_after is None:
         return {}
     seconds = max(1, round(refusal.retry_after.total_seconds()))
--- a/quetzalcourse/protocol/slots.py
+++ b/quetzalcourse/protocol/slots.py
@@ -1,7 +1,7 @@
-"""Messages between owners and users of slots.
+"""Slot messages between slot owners and requesting daemons.
 
-Names travel as 32-bit hashes and structures as arrays: these messages are
-most of what daemons send one another.
+Names are sent as 32-bit hashes and structures as arrays, because these
+messages make up most of the traffic between daemons.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 
 class LoadMessage(msgspec.Struct, array_like=True):
-    """What one account has at one daemon.
+    """Load of one account on one daemon.
 
-    :param oldest: age of the first waiting request, in tenths of a second.
+    :param oldest: age of the oldest waiting request, in tenths of a second.
     """
 
     human: bool
@@ -40,7 +40,7 @@
 
 
 class ReportMessage(msgspec.Struct, array_like=True):
-    """Report on one upstream, named by its hash."""
+    """Report on one upstream, identified by the hash of its name."""
 
     upstream: int
     sequence: int
@@ -52,7 +52,7 @@
 
 
 class AllowanceMessage(msgspec.Struct, array_like=True):
-    """Allowance on one upstream, named by its hash."""
+    """Allowance on one upstream, identified by the hash of its name."""
 
     upstream: int
     number: int
@@ -64,7 +64,7 @@
 
 
 class SlotMessage(msgspec.Struct, array_like=True):
-    """Everything that one daemon tells another at once."""
+    """Reports and allowances that one daemon sends to another."""
 
     reports: list[ReportMessage]
     allowances: list[AllowanceMessage]
@@ -78,9 +78,9 @@
     reports: tuple[SlotReport, ...],
     ids: Mapping[str, int],
 ) -> bytes:
-    """Write reports.
+    """Encode reports.
 
-    :param ids: upstreams' names to their hashes.
+    :param ids: hashes of the upstreams' names, by name.
     """
     messages = [
         ReportMessage(
@@ -101,9 +101,9 @@
     allowances: tuple[Allowance, ...],
     ids: Mapping[str, int],
 ) -> bytes:
-    """Write allowances.
+    """Encode allowances.
 
-    :param ids: upstreams' names to their hashes.
+    :param ids: hashes of the upstreams' names, by name.
     """
     messages = [
         AllowanceMessage(
@@ -121,9 +121,9 @@
 
 
 def decode_slots(content: bytes) -> SlotMessage:
-    """Read a message.
+    """Decode a message.
 
-    :raises msgspec.DecodeError: if it is malformed.
+    :raises msgspec.DecodeError: if the message is malformed.
     """
     return _decoder.decode(content)
 
@@ -132,9 +132,9 @@
     message: SlotMessage,
     names: Mapping[int, str],
 ) -> tuple[SlotReport, ...]:
-    """List the reports on upstreams that are known here.
+    """Convert the reports on known upstreams; others are ignored.
 
-    :param names: hashes to upstreams' names.
+    :param names: names of the upstreams, by hash.
     """
     return tuple(
         SlotReport(
@@ -155,9 +155,9 @@
     message: SlotMessage,
     names: Mapping[int, str],
 ) -> tuple[Allowance, ...]:
-    """List the allowances on upstreams that are known here.
+    """Convert the allowances on known upstreams; others are ignored.
 
-    :param names: hashes to upstreams' names.
+    :param names: names of the upstreams, by hash.
     """
     return tuple(
         Allowance(
--- a/quetzalcourse/transport/generation_routes.py
+++ b/quetzalcourse/transport/generation_routes.py
@@ -109,10 +109,10 @@
         request: Request,
         generation_request: GenerationRequest,
         body: CompletionBody | ChatBody,
-        shape: ResponseFormat,
+        response_format: ResponseFormat,
     ) -> HTTPResponse | None:
         created = int(self._parts.clock.now().timestamp())
-        writer = ResponseWriter(generation_request, shape, created)
+        writer = ResponseWriter(generation_request, response_format, created)
         until_withdrawn = end_on_withdrawal(
             self._parts.generation.run(generation_request),
             self._parts.keys,
--- a/quetzalcourse/transport/peer_link.py
+++ b/quetzalcourse/transport/peer_link.py
@@ -122,14 +122,18 @@
         """Send a message without blocking; it may be lost."""
         if self._own is None or receiver.address == self.address:
             return
-        wire = self._codec.encode(self._own, receiver.address, topic, content)
+        message_bytes = self._codec.encode(
+            self._own, receiver.address, topic, content
+        )
         try:
-            self._get_socket(receiver.address).send(wire, block=False)
+            self._get_socket(receiver.address).send(message_bytes, block=False)
         except pynng.NNGException:
             self._counters.add('peer_messages_lost', topic=topic.value)
             return
         self._counters.add('peer_messages_sent', topic=topic.value)
-        self._counters.add('peer_bytes_sent', len(wire), topic=topic.value)
+        self._counters.add(
+            'peer_bytes_sent', len(message_bytes), topic=topic.value
+        )
 
     def subscribe(
         self,
@@ -180,15 +184,17 @@
             # Propagated, the error would end the reading of this batch.
             return b''
 
-    def _receive(self, wire: bytes) -> None:
-        opened = self._codec.decode(wire, self.address)
+    def _receive(self, message_bytes: bytes) -> None:
+        opened = self._codec.decode(message_bytes, self.address)
         if isinstance(opened, Err):
             self._drop(opened.err_value)
             return
         envelope = opened.ok_value
         topic = envelope.topic
         self._counters.add('peer_messages_received', topic=topic.value)
-        self._counters.add('peer_bytes_received', len(wire), topic=topic.value)
+        self._counters.add(
+            'peer_bytes_received', len(message_bytes), topic=topic.value
+        )
         handler = self._handlers.get(topic)
         if handler is None:
             return
