--- a/quetzalcourse/transport/caller_app.py
+++ b/quetzalcourse/transport/caller_app.py
@@ -96,7 +96,7 @@
 
 
 def prepare_app(
-    app: Sanic, parts: RouteDependencies, ids: RequestIdGenerator
+    app: Sanic, dependencies: RouteDependencies, ids: RequestIdGenerator
 ) -> None:
     """Register request ids, key tracking and error handlers.
 
@@ -104,11 +104,14 @@
     """
 
     app.ctx.request_ids = ids
-    app.ctx.sessions = parts.sessions
+    app.ctx.sessions = dependencies.sessions
 
     async def on_response(request: Request, response: HTTPResponse) -> None:
         response.headers['x-request-id'] = read_request_id(request)
-        if parts.activity.draining or parts.sessions.is_key_withdrawn(request):
+        if (
+            dependencies.activity.draining
+            or dependencies.sessions.is_key_withdrawn(request)
+        ):
             # Announces the close: a caller that reused the connection would
             # send its next request to a closed socket.
             request.stream.keep_alive = False  # type: ignore[union-attr]
--- a/quetzalcourse/transport/generation_routes.py
+++ b/quetzalcourse/transport/generation_routes.py
@@ -43,12 +43,12 @@
 class GenerationRoutes:
     """Serves text and chat completions.
 
-    :param parts: components that the routes depend on.
+    :param dependencies: components that the routes depend on.
     """
 
-    def __init__(self, app: Sanic, parts: RouteDependencies) -> None:
+    def __init__(self, app: Sanic, dependencies: RouteDependencies) -> None:
         """Register the routes."""
-        self._parts = parts
+        self._dependencies = dependencies
         app.add_route(
             allow_streaming(self._complete),
             '/v1/completions',
@@ -65,8 +65,8 @@
         )
 
     async def _complete(self, request: Request) -> HTTPResponse | None:
-        identity = authenticate(request, self._parts.keys)
-        content = await read_body(request, self._parts.settings.limits)
+        identity = authenticate(request, self._dependencies.keys)
+        content = await read_body(request, self._dependencies.settings.limits)
         body = decode_body(content, CompletionBody)
         generation_request = self._build(request, identity, body, body.prompt)
         return await self._serve(
@@ -74,8 +74,8 @@
         )
 
     async def _chat(self, request: Request) -> HTTPResponse | None:
-        identity = authenticate(request, self._parts.keys)
-        content = await read_body(request, self._parts.settings.limits)
+        identity = authenticate(request, self._dependencies.keys)
+        content = await read_body(request, self._dependencies.settings.limits)
         body = decode_body(content, ChatBody)
         prompt = render_chat(body.messages)
         generation_request = self._build(request, identity, body, prompt)
@@ -98,7 +98,7 @@
             model=body.model,
             prompt=prompt,
             max_tokens=body.max_tokens,
-            deadline=self._parts.clock.elapsed() + write_timeout,
+            deadline=self._dependencies.clock.elapsed() + write_timeout,
             seed=body.seed,
             adapter=body.adapter,
             weight_version=body.weight_version,
@@ -111,24 +111,24 @@
         body: CompletionBody | ChatBody,
         response_format: ResponseFormat,
     ) -> HTTPResponse | None:
-        created = int(self._parts.clock.now().timestamp())
+        created = int(self._dependencies.clock.now().timestamp())
         writer = ResponseWriter(generation_request, response_format, created)
         until_withdrawn = end_on_withdrawal(
-            self._parts.generation.run(generation_request),
-            self._parts.keys,
+            self._dependencies.generation.run(generation_request),
+            self._dependencies.keys,
             request.ctx.identity.key_id,
         )
-        chunks = self._parts.human_service.track_stream(
+        chunks = self._dependencies.human_service.track_stream(
             generation_request.client_account, until_withdrawn
         )
-        with self._parts.activity.track():
+        with self._dependencies.activity.track():
             async with aclosing(chunks):  # type: ignore[type-var]
                 if body.stream:
                     await self._stream(request, writer, chunks)
                     return None
-                whole = [chunk async for chunk in chunks]
+                collected = [chunk async for chunk in chunks]
         return sanic_response.raw(
-            writer.encode_whole(whole), content_type=JSON_TYPE
+            writer.encode_whole(collected), content_type=JSON_TYPE
         )
 
     async def _stream(
@@ -141,7 +141,7 @@
         # still set the response status.
         first = await anext(chunks)
         response = await request.respond(content_type='text/event-stream')
-        write_timeout = self._parts.settings.limits.reader_seconds
+        write_timeout = self._dependencies.settings.limits.reader_seconds
         stream = ResponseStream(request, response, write_timeout)
         await stream.send(encode_event(writer.encode_chunk(first)))
         try:
--- a/quetzalcourse/transport/health_routes.py
+++ b/quetzalcourse/transport/health_routes.py
@@ -21,9 +21,9 @@
 class HealthRoutes:
     """Serves liveness, readiness, metrics and status."""
 
-    def __init__(self, app: Sanic, parts: RouteDependencies) -> None:
+    def __init__(self, app: Sanic, dependencies: RouteDependencies) -> None:
         """Register the routes."""
-        self._parts = parts
+        self._dependencies = dependencies
         app.add_route(self._get_health, '/healthz')
         app.add_route(self._get_readiness, '/readyz')
         app.add_route(self._get_metrics, '/metrics')
@@ -33,26 +33,26 @@
         return sanic_response.text('ok')
 
     async def _get_readiness(self, _: Request) -> HTTPResponse:
-        if self._parts.activity.ready:
+        if self._dependencies.activity.ready:
             return sanic_response.text('ready')
         return sanic_response.text('not ready', status=HTTP_UNAVAILABLE)
 
     async def _get_metrics(self, _: Request) -> HTTPResponse:
-        self._parts.service_levels.publish()
+        self._dependencies.service_levels.publish()
         return sanic_response.raw(
-            render_metrics(self._parts.counters),
+            render_metrics(self._dependencies.counters),
             content_type='text/plain; version=0.0.4',
         )
 
     async def _get_status(self, _: Request) -> HTTPResponse:
-        settings = self._parts.settings
+        settings = self._dependencies.settings
         return sanic_response.json(
             {
                 'vm': settings.vm,
                 'data_centre': settings.data_centre,
-                'ready': self._parts.activity.ready,
-                'serving': self._parts.activity.serving,
-                'manifest_version': self._parts.manifest.current.version,
-                **self._parts.status.collect(),
+                'ready': self._dependencies.activity.ready,
+                'serving': self._dependencies.activity.serving,
+                'manifest_version': self._dependencies.manifest.current.version,
+                **self._dependencies.status.collect(),
             }
         )
--- a/quetzalcourse/transport/item_client.py
+++ b/quetzalcourse/transport/item_client.py
@@ -9,7 +9,7 @@
     TokenLatencyReader,
 )
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
+from quetzalcourse.state.client import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.upstream_client import (
     CallFailedError,
     CallFailure,
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        calls: UpstreamClient,
+        client: UpstreamClient,
         dialect: UpstreamDialect,
         pool: Pool,
         crash_detector: CrashDetector,
@@ -54,7 +54,7 @@
         counters: Counters,
     ) -> None:
         """Store the collaborators."""
-        self._calls = calls
+        self._client = client
         self._dialect = dialect
         self._pool = pool
         self._crash_detector = crash_detector
@@ -82,7 +82,7 @@
         headers = self._dialect.write_item(run.item, head.host, metadata)
         resumed = run.resume_after
         try:
-            async with self._calls.open(
+            async with self._client.open(
                 upstream.member.address,
                 'POST',
                 run.item.path,
@@ -178,10 +178,10 @@
             self._pool.on_model_refused(upstream, model)
             self._record_failed_attempt(batch, run, upstream, 'old weights')
             return None
-        whole = await self._read_stream(
+        complete = await self._read_stream(
             batch, run, upstream, response, metadata.weight_version
         )
-        if not whole:
+        if not complete:
             return None
         self._pool.on_success(upstream)
         return run.build_completed_result()
--- a/quetzalcourse/transport/operator_routes.py
+++ b/quetzalcourse/transport/operator_routes.py
@@ -31,9 +31,9 @@
 class OperatorRoutes:
     """Serves operators, who authenticate with an operator key."""
 
-    def __init__(self, app: Sanic, parts: RouteDependencies) -> None:
+    def __init__(self, app: Sanic, dependencies: RouteDependencies) -> None:
         """Register the routes."""
-        self._parts = parts
+        self._dependencies = dependencies
         app.add_route(self._list, KEYS_PATH, methods=['GET'], name='list_keys')
         app.add_route(
             allow_streaming(self._change),
@@ -45,19 +45,19 @@
 
     async def _list(self, request: Request) -> HTTPResponse:
         self._check_operator(request)
-        records = list(self._parts.keys.records.values())
+        records = list(self._dependencies.keys.records.values())
         return sanic_response.raw(
             msgspec.json.encode(records), content_type=JSON_TYPE
         )
 
     async def _change(self, request: Request) -> HTTPResponse:
         self._check_operator(request)
-        content = await read_body(request, self._parts.settings.limits)
+        content = await read_body(request, self._dependencies.settings.limits)
         record = decode_body(content, KeyRecord)
         fault = validate_record(record)
         if fault:
             raise RefusedError(_refuse(RefusalCode.invalid_body, fault))
-        keys = self._parts.keys
+        keys = self._dependencies.keys
         keys.merge(record)
         held = keys.records[record.key_id]
         if held.withdrawn and not record.withdrawn:
@@ -74,7 +74,7 @@
     def _check_operator(self, request: Request) -> None:
         header = request.headers.get('authorization', '')
         secret = header[len(BEARER) :] if header.startswith(BEARER) else ''
-        hashes = self._parts.settings.operators.key_hashes
+        hashes = self._dependencies.settings.operators.key_hashes
         matches = [match_secret(digest, secret) for digest in hashes]
         if not secret or not any(matches):
             raise RefusedError(
--- a/quetzalcourse/transport/request_body.py
+++ b/quetzalcourse/transport/request_body.py
@@ -47,7 +47,7 @@
         self.length = declared if 'content-length' in headers else None
         self.started = False
         self.refusal: Refusal | None = None
-        self._whole: bytes | None = None
+        self._content: bytes | None = None
         self._stream: Any = request.stream
         self._limit = limit
         self._idle_timeout = idle_timeout_seconds
@@ -55,7 +55,7 @@
     @property
     def replayable(self) -> bool:
         """Whether the body can be sent again."""
-        return self._whole is not None or not self.started
+        return self._content is not None or not self.started
 
     async def buffer(self, limit: int) -> bytes:
         """Read the whole body into memory before it is sent.
@@ -65,13 +65,13 @@
         """
         self._limit = min(self._limit, limit)
         chunks = [chunk async for chunk in self.read()]
-        self._whole = b''.join(chunks)
-        return self._whole
+        self._content = b''.join(chunks)
+        return self._content
 
     def open(self) -> bytes | AsyncIterator[bytes] | None:
         """Return the body in the form that the HTTP client expects."""
-        if self._whole is not None:
-            return self._whole or None
+        if self._content is not None:
+            return self._content or None
         return self.read() if self.exists else None
 
     async def read(self) -> AsyncIterator[bytes]:
--- a/quetzalcourse/transport/request_proxy.py
+++ b/quetzalcourse/transport/request_proxy.py
@@ -6,7 +6,7 @@
 
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
+from quetzalcourse.state.client import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.headers import HOP_BY_HOP, list_connection_headers
 from quetzalcourse.transport.response_stream import ResponseStream
 from quetzalcourse.transport.upstream_client import (
@@ -29,7 +29,7 @@
     from quetzalcourse.coordination.forwarding.pool import Pool
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.coordination.quarantine.quarantine import Quarantine
-    from quetzalcourse.state.calls import RequestHead
+    from quetzalcourse.state.client import RequestHead
     from quetzalcourse.transport.dialect import UpstreamDialect
     from quetzalcourse.transport.spooled_body import SpooledBody
     from quetzalcourse.transport.upstream_client import UpstreamClient
@@ -70,7 +70,7 @@
         self,
         forwarder: Forwarder,
         pool: Pool,
-        calls: UpstreamClient,
+        client: UpstreamClient,
         dialect: UpstreamDialect,
         crash_detector: CrashDetector,
         quarantine: Quarantine,
@@ -79,7 +79,7 @@
         """Store the collaborators."""
         self._forwarder = forwarder
         self._pool = pool
-        self._calls = calls
+        self._client = client
         self._dialect = dialect
         self._crash_detector = crash_detector
         self._quarantine = quarantine
@@ -174,7 +174,7 @@
             caller.resume_after,
         )
         headers = self._dialect.write_request(head, metadata)
-        if not body.whole:
+        if not body.complete:
             forwarding.replayable = False
             if body.length is not None:
                 headers.append(('Content-Length', str(body.length)))
@@ -184,7 +184,7 @@
             forwarding.fingerprint, upstream.name
         )
         try:
-            async with self._calls.open(
+            async with self._client.open(
                 upstream.member.address,
                 head.method,
                 head.target,
@@ -254,7 +254,7 @@
     ) -> None:
         self._pool.on_success(upstream)
         self._quarantine.on_answer(forwarding.fingerprint, upstream.run_id)
-        self._pool.on_idle_connection(upstream, self._calls.keep_alive)
+        self._pool.on_idle_connection(upstream, self._client.keep_alive)
         log.info(
             'Request answered.',
             request_id=forwarding.request_id,
@@ -279,9 +279,9 @@
             await caller.start(response)
             await self._relay_events(caller, forwarding, chunks)
             return
-        buffered, whole = await _read_up_to_limit(chunks)
+        buffered, complete = await _read_up_to_limit(chunks)
         await caller.start(response)
-        if whole:
+        if complete:
             await caller.send(buffered, last=True)
             return
         try:
--- a/quetzalcourse/transport/response_stream.py
+++ b/quetzalcourse/transport/response_stream.py
@@ -26,19 +26,19 @@
 
     :param request: the caller's request.
     :param stream: the started response.
-    :param write_timeout_seconds: timeout of sending one chunk.
+    :param timeout_seconds: timeout of sending one chunk.
     """
 
     def __init__(
         self,
         request: Request,
         stream: HTTPResponse,
-        write_timeout_seconds: float,
+        timeout_seconds: float,
     ) -> None:
         """Store the request and its started response."""
         self._request = request
         self._stream = stream
-        self._write_timeout = write_timeout_seconds
+        self._write_timeout = timeout_seconds
 
     async def send(self, chunk: bytes, *, last: bool = False) -> None:
         """Send a chunk, waiting while the caller reads slowly.
@@ -63,14 +63,14 @@
     response: aiohttp.ClientResponse,
     first: bytes,
     *,
-    whole: bool,
-    write_timeout_seconds: float,
+    complete: bool,
+    timeout_seconds: float,
 ) -> None:
     """Relay an upstream's response to the caller as it arrives.
 
     :param first: the part of the body that was already read.
-    :param whole: whether ``first`` is the complete body.
-    :param write_timeout_seconds: timeout of sending one chunk.
+    :param complete: whether ``first`` is the complete body.
+    :param timeout_seconds: timeout of sending one chunk.
     """
     headers = filter_response_headers(response.headers.items())
     stream = await request.respond(
@@ -78,9 +78,9 @@
         headers=headers,
         content_type=headers.get('content-type', ''),
     )
-    writer = ResponseStream(request, stream, write_timeout_seconds)
-    await writer.send(first, last=whole)
-    if whole:
+    writer = ResponseStream(request, stream, timeout_seconds)
+    await writer.send(first, last=complete)
+    if complete:
         return
     async for chunk in response.content.iter_chunked(CHUNK_BYTES):
         await writer.send(chunk)
--- a/quetzalcourse/transport/routes.py
+++ b/quetzalcourse/transport/routes.py
@@ -19,16 +19,16 @@
 
 def add_routes(
     app: Sanic,
-    parts: RouteDependencies,
+    dependencies: RouteDependencies,
     session: aiohttp.ClientSession,
 ) -> None:
     """Register every route.
 
-    :param parts: components that the routes depend on.
+    :param dependencies: components that the routes depend on.
     :param session: HTTP session shared by calls to upstreams.
     """
-    GenerationRoutes(app, parts)
-    ServiceRoutes(app, parts, session)
-    StepRoutes(app, parts)
-    HealthRoutes(app, parts)
-    OperatorRoutes(app, parts)
+    GenerationRoutes(app, dependencies)
+    ServiceRoutes(app, dependencies, session)
+    StepRoutes(app, dependencies)
+    HealthRoutes(app, dependencies)
+    OperatorRoutes(app, dependencies)
--- a/quetzalcourse/transport/scoring_client.py
+++ b/quetzalcourse/transport/scoring_client.py
@@ -9,7 +9,7 @@
     ScoringState,
 )
 from quetzalcourse.log import get_log
-from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
+from quetzalcourse.state.client import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.upstream_client import (
     CallFailedError,
     CallFailure,
@@ -36,13 +36,13 @@
 
     def __init__(
         self,
-        calls: UpstreamClient,
+        client: UpstreamClient,
         dialect: UpstreamDialect,
         pool: Pool,
         crash_detector: CrashDetector,
     ) -> None:
         """Store the collaborators."""
-        self._calls = calls
+        self._client = client
         self._dialect = dialect
         self._pool = pool
         self._crash_detector = crash_detector
@@ -60,7 +60,7 @@
         """
         metadata = AttemptMetadata(upstream.name, '', timeout)
         try:
-            async with self._calls.open(
+            async with self._client.open(
                 upstream.member.address,
                 'POST',
                 call.path,
--- a/quetzalcourse/transport/service_routes.py
+++ b/quetzalcourse/transport/service_routes.py
@@ -84,11 +84,11 @@
     def __init__(
         self,
         app: Sanic,
-        parts: RouteDependencies,
+        dependencies: RouteDependencies,
         session: aiohttp.ClientSession,
     ) -> None:
         """Register the route."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._session = session
         app.add_route(
             allow_streaming(self._call),
@@ -99,27 +99,30 @@
         )
 
     async def _call(self, request: Request, name: str, path: str) -> None:
-        identity = authenticate(request, self._parts.keys)
-        self._parts.services.find(name)
+        identity = authenticate(request, self._dependencies.keys)
+        self._dependencies.services.find(name)
         call = ServiceCall(
             name,
             request.method,
             identity.client_account,
             self._read_deadline(request),
         )
-        limits = self._parts.settings.limits
+        limits = self._dependencies.settings.limits
         body = RequestBody(
             request, limits.service_body_bytes, limits.sender_seconds
         )
         query = filter_query(request.query_string, read_secret(request))
         target = f'/{path}?{query}' if query else f'/{path}'
         proxied = ProxiedCall(request, call, target, body)
-        human = self._parts.human_service
-        with self._parts.activity.track(), human.track(call.client_account):
+        human = self._dependencies.human_service
+        with (
+            self._dependencies.activity.track(),
+            human.track(call.client_account),
+        ):
             await serve_until_withdrawn(
                 self._serve(proxied),
                 request,
-                self._parts.keys,
+                self._dependencies.keys,
                 identity.key_id,
             )
 
@@ -134,7 +137,7 @@
         with suppress(ValueError, OverflowError):
             timeout = timedelta(seconds=float(text))
             if timeout > timedelta(0):
-                return self._parts.clock.elapsed() + timeout
+                return self._dependencies.clock.elapsed() + timeout
         raise RefusedError(
             Refusal(
                 RefusalCode.invalid_body,
@@ -147,7 +150,7 @@
     async def _prepare(self, proxied: ProxiedCall) -> None:
         request = proxied.request
         key = request.headers.get(IDEMPOTENCY_KEY_HEADER)
-        repeatable = self._parts.services.is_repeatable(proxied.call)
+        repeatable = self._dependencies.services.is_repeatable(proxied.call)
         if key and not repeatable:
             content = await proxied.body.buffer(MAX_KEYED_BODY_BYTES)
             named = f'{proxied.call.service}{proxied.path}'
@@ -166,13 +169,15 @@
             await self._attempt_all(proxied)
         except RefusedError as error:
             if proxied.claim is not None and error.refusal.not_run:
-                await self._parts.claims.on_not_run(proxied.claim)
+                await self._dependencies.claims.on_not_run(proxied.claim)
             raise
         if proxied.claim is not None:
-            await self._parts.claims.on_answered(proxied.claim, proxied.status)
+            await self._dependencies.claims.on_answered(
+                proxied.claim, proxied.status
+            )
 
     async def _attempt_all(self, proxied: ProxiedCall) -> None:
-        services = self._parts.services
+        services = self._dependencies.services
         call = proxied.call
         while call.state is not AttemptState.complete:
             grant = await services.acquire(call)
@@ -198,12 +203,12 @@
             call.may_have_run = call.may_have_run or call.state not in NEVER_RAN
             raise RefusedError(adjust_not_run(refusal, call)) from error
         call.replayable = proxied.body.replayable
-        self._parts.services.on_failed(call, grant)
-        self._parts.counters.add('retries')
+        self._dependencies.services.on_failed(call, grant)
+        self._dependencies.counters.add('retries')
 
     async def _attempt(self, proxied: ProxiedCall, grant: Grant) -> None:
         if proxied.keyed is not None and proxied.claim is None:
-            proxied.claim = await self._parts.claims.claim(proxied.keyed)
+            proxied.claim = await self._dependencies.claims.claim(proxied.keyed)
         request = proxied.request
         call = proxied.call
         # Any failure other than a failed connect may have reached the upstream.
@@ -228,21 +233,21 @@
     ) -> None:
         proxied.status = response.status
         length = response.content_length
-        whole = length is not None and length <= MAX_BUFFERED_BYTES
+        complete = length is not None and length <= MAX_BUFFERED_BYTES
         if proxied.request.method == 'HEAD':
-            whole = True
-        first = await response.read() if whole else b''
+            complete = True
+        first = await response.read() if complete else b''
         proxied.call.answer_started = True
         await relay_response(
             proxied.request,
             response,
             first,
-            whole=whole,
-            write_timeout_seconds=self._parts.settings.limits.reader_seconds,
+            complete=complete,
+            timeout_seconds=self._dependencies.settings.limits.reader_seconds,
         )
-        self._parts.services.on_answered(proxied.call, grant)
+        self._dependencies.services.on_answered(proxied.call, grant)
         if response.status in UNHEALTHY_STATUSES:
-            self._parts.services.on_unhealthy(grant)
+            self._dependencies.services.on_unhealthy(grant)
 
     def _build_headers(
         self,
@@ -253,14 +258,14 @@
             request.headers.items(), read_secret(request)
         )
         if call.deadline is not None:
-            time_left = call.deadline - self._parts.clock.elapsed()
+            time_left = call.deadline - self._dependencies.clock.elapsed()
             headers.append((TIMEOUT_HEADER, f'{time_left.total_seconds():.3f}'))
         return headers
 
     def _build_timeout(self, call: ServiceCall) -> aiohttp.ClientTimeout:
         total: float | None = None
         if call.deadline is not None:
-            time_left = call.deadline - self._parts.clock.elapsed()
+            time_left = call.deadline - self._dependencies.clock.elapsed()
             total = max(time_left.total_seconds(), MIN_TIMEOUT_SECONDS)
         return aiohttp.ClientTimeout(
             total=total,
--- a/quetzalcourse/transport/spooled_body.py
+++ b/quetzalcourse/transport/spooled_body.py
@@ -27,7 +27,7 @@
 
     def __init__(self, source: RequestBody) -> None:
         """Store the source; :meth:`fill` starts to read it."""
-        self.whole = False
+        self.complete = False
         self._source = source
         self._chunks: list[bytes] = []
         self._rest: AsyncIterator[bytes] = source.read()
@@ -40,7 +40,7 @@
             size += len(chunk)
             if size > MAX_BUFFERED_BYTES:
                 return
-        self.whole = True
+        self.complete = True
 
     @property
     def length(self) -> int | None:
@@ -58,12 +58,12 @@
             head.target,
             account,
             self._chunks,
-            None if self.whole else self.length,
+            None if self.complete else self.length,
         )
 
     def open(self) -> bytes | AsyncIterator[bytes] | None:
         """Return the body in the form that the HTTP client expects."""
-        if self.whole:
+        if self.complete:
             return b''.join(self._chunks) or None
         return self._stream()
 
--- a/quetzalcourse/transport/step_routes.py
+++ b/quetzalcourse/transport/step_routes.py
@@ -42,13 +42,13 @@
 class StepRoutes:
     """Serves the steps of trainers.
 
-    :param parts: components that the routes depend on.
+    :param dependencies: components that the routes depend on.
     """
 
-    def __init__(self, app: Sanic, parts: RouteDependencies) -> None:
+    def __init__(self, app: Sanic, dependencies: RouteDependencies) -> None:
         """Register the routes."""
-        self._parts = parts
-        self._steps = parts.steps
+        self._dependencies = dependencies
+        self._steps = dependencies.steps
         app.add_route(
             allow_streaming(self._create),
             '/v1/steps',
@@ -68,7 +68,7 @@
         )
 
     async def _create(self, request: Request) -> HTTPResponse:
-        content = await read_body(request, self._parts.settings.limits)
+        content = await read_body(request, self._dependencies.settings.limits)
         body = decode_body(content, StepBody)
         trainer = self._find_trainer(request, body.trainer)
         faults = find_step_faults(body)
@@ -126,13 +126,13 @@
         step: int,
     ) -> HTTPResponse:
         self._find_trainer(request, trainer)
-        content = await read_body(request, self._parts.settings.limits)
+        content = await read_body(request, self._dependencies.settings.limits)
         body = decode_body(content, AcknowledgeBody)
         acknowledged = self._steps.acknowledge(trainer, step, body.cursor)
         return encode_answer(await self._wait(acknowledged))
 
     async def _wait(self, work: Awaitable[Result[Found, Refusal]]) -> Found:
-        with self._parts.activity.track():
+        with self._dependencies.activity.track():
             result = await work
         if isinstance(result, Err):
             raise RefusedError(result.err_value)
@@ -155,14 +155,14 @@
             staleness_bound=bound,
             deadline_seconds=body.deadline_seconds,
             body_digest=hash_body(body),
-            created=self._parts.clock.now(),
+            created=self._dependencies.clock.now(),
             scored=trainer.scored,
             scoring_repeatable=trainer.scoring_repeatable,
         )
 
     def _find_trainer(self, request: Request, name: str) -> Trainer:
-        identity = authenticate(request, self._parts.keys)
-        trainer = self._parts.manifest.current.trainers.get(name)
+        identity = authenticate(request, self._dependencies.keys)
+        trainer = self._dependencies.manifest.current.trainers.get(name)
         if trainer is None:
             raise RefusedError(
                 _refuse(RefusalCode.not_found, f'No trainer {name!r}.')
