--- a/quetzalcourse/settings/__init__.py
+++ b/quetzalcourse/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process and the manifest, checked at the border."""
+"""Validation of process settings and the manifest."""
--- a/quetzalcourse/settings/faults.py
+++ b/quetzalcourse/settings/faults.py
@@ -1,4 +1,4 @@
-"""Faults of settings and manifests, as operators see them."""
+"""Validation errors of settings and manifests, as operators see them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingFault:
-    """One fault of a file.
+    """One validation error of a file.
 
     :param file: path of the file.
     :param key: dotted name of the key, empty for the whole file.
-    :param reason: what is wrong with it.
+    :param reason: error message.
     """
 
     file: str
@@ -23,13 +23,13 @@
     reason: str
 
     def __str__(self) -> str:
-        """Write the fault on one line."""
+        """Format the error as one line."""
         place = f'{self.file}: {self.key}' if self.key else self.file
         return f'{place}: {self.reason}'
 
 
 def list_faults(file: str, error: ValidationError) -> list[SettingFault]:
-    """List every fault that validation found.
+    """Convert the errors of a failed validation.
 
     :param file: path of the file.
     """
--- a/quetzalcourse/settings/manifest.py
+++ b/quetzalcourse/settings/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest as operators write it, in TOML."""
+"""Validation of the manifest that operators write in TOML."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ClientAccountModel(SettingsModel):
-    """A client account."""
+    """Limits and share of a client account."""
 
     weight: float = Field(default=1.0, gt=0)
     requests_per_second: float = Field(default=1000.0, gt=0)
@@ -30,14 +30,14 @@
 
 
 class KeyModel(SettingsModel):
-    """A granted key; only the hash of its secret is written down."""
+    """A granted key; the manifest has only the hash of its secret."""
 
     client_account: str
     sha256: str = Field(pattern='^[0-9a-f]{64}$')
 
 
 class TrainerModel(SettingsModel):
-    """A trainer."""
+    """A trainer and the model that its steps sample."""
 
     client_account: str
     model: str
@@ -47,7 +47,7 @@
 
 
 class UpstreamModel(SettingsModel):
-    """An upstream."""
+    """An engine or a service, and its capacity."""
 
     kind: Literal['engine', 'service']
     data_centre: str
@@ -62,7 +62,7 @@
 
     @model_validator(mode='after')
     def check_parts(self) -> UpstreamModel:
-        """Refuse values that can't go together."""
+        """Reject values that contradict each other."""
         if self.human_headroom >= self.slots:
             raise ValueError('human_headroom must be below slots')
         if self.kind == 'engine' and not self.models:
@@ -71,14 +71,14 @@
 
 
 class ServiceModel(SettingsModel):
-    """A plain service."""
+    """A service without a model, and the upstreams that serve it."""
 
     upstreams: tuple[str, ...] = Field(min_length=1)
     repeatable_methods: frozenset[str] = frozenset(('GET', 'HEAD'))
 
 
 class MaintenanceModel(SettingsModel):
-    """Time in which an upstream gets no work."""
+    """Maintenance window in which an upstream gets no requests."""
 
     upstream: str
     starts: datetime
@@ -86,7 +86,7 @@
 
     @model_validator(mode='after')
     def check_order(self) -> MaintenanceModel:
-        """Refuse a window that ends before it starts."""
+        """Reject a window that ends before it starts."""
         if self.starts.tzinfo is None or self.ends.tzinfo is None:
             raise ValueError('times need an offset, such as Z')
         if self.ends <= self.starts:
@@ -95,7 +95,7 @@
 
 
 class ServiceLevelModel(SettingsModel):
-    """A promise with its error budget."""
+    """A service level objective with its error budget."""
 
     indicator: Literal[
         'human_latency',
@@ -110,7 +110,7 @@
 
 
 class FleetKindModel(SettingsModel):
-    """A kind of upstream that can be ordered."""
+    """A kind of upstream that the fleet controller can order."""
 
     price_per_hour: float = Field(ge=0)
     tokens_per_second: float = Field(gt=0)
@@ -120,17 +120,17 @@
 
 
 class FleetModel(SettingsModel):
-    """Bounds and money for ordering upstreams.
+    """Limits and budget for ordering upstreams.
 
-    :param kinds: what can be ordered; without any nothing is ordered.
-    :param utilisation: share of the capacity that demand should fill.
+    :param kinds: kinds that can be ordered; nothing is ordered if empty.
+    :param utilisation: target share of the capacity in use.
     :param slack: share by which demand must have fallen before upstreams
-        are given back.
-    :param cool_down_seconds: time between a change and giving back.
+        are released.
+    :param cool_down_seconds: time between a change and a release.
     :param largest_change: most upstreams of a kind and data centre to change
         at once.
     :param notice_seconds: time that the platform gives upstreams to drain.
-    :param budget_period_hours: time over which the budget is kept.
+    :param budget_period_hours: period over which the budget applies.
     """
 
     budget_per_hour: float = Field(default=0.0, ge=0)
@@ -146,7 +146,7 @@
 
     @model_validator(mode='after')
     def check_order(self) -> FleetModel:
-        """Refuse bounds that cross."""
+        """Reject limits that contradict each other."""
         if self.smallest > self.largest:
             raise ValueError('smallest must not be above largest')
         if self.kinds and not self.budget_per_hour:
@@ -157,7 +157,7 @@
 
 
 class ManifestModel(SettingsModel):
-    """The whole manifest."""
+    """Complete manifest."""
 
     client_accounts: dict[str, ClientAccountModel] = {}
     keys: dict[str, KeyModel] = {}
@@ -170,10 +170,10 @@
 
 
 def load_manifest(path: Path) -> Result[state.Manifest, list[SettingFault]]:
-    """Read and check a manifest file.
+    """Read and validate a manifest file.
 
     :param path: the TOML file.
-    :returns: the manifest without a version, or all faults at once.
+    :returns: the manifest without a version, or all errors.
     """
     try:
         text = path.read_text()
@@ -186,11 +186,11 @@
     text: str,
     file: str,
 ) -> Result[state.Manifest, list[SettingFault]]:
-    """Check the text of a manifest.
+    """Validate the text of a manifest.
 
-    :param text: TOML.
-    :param file: name of the text in faults.
-    :returns: the manifest without a version, or all faults at once.
+    :param text: TOML document.
+    :param file: file name in errors.
+    :returns: the manifest without a version, or all errors.
     """
     try:
         model = ManifestModel.model_validate(tomllib.loads(text))
@@ -205,10 +205,10 @@
 
 
 def check_references(model: ManifestModel, file: str) -> list[SettingFault]:
-    """Find names that no section declares.
+    """Find references to names that no section declares.
 
-    :param model: a manifest whose values are checked one by one.
-    :param file: name of the manifest in faults.
+    :param model: manifest whose fields are valid.
+    :param file: file name in errors.
     """
     models = {
         name
@@ -258,7 +258,7 @@
 
 
 def convert_manifest(model: ManifestModel) -> state.Manifest:
-    """Turn a checked manifest into the data classes of state."""
+    """Convert a validated manifest into the state's data classes."""
     return state.Manifest(
         client_accounts={
             name: state.ClientAccount(name, **account.model_dump())
@@ -293,7 +293,7 @@
 
 
 def convert_fleet(model: FleetModel) -> state.FleetPlan:
-    """Turn a checked fleet into its data class."""
+    """Convert validated fleet settings into their data class."""
     return state.FleetPlan(
         budget_per_hour=model.budget_per_hour,
         smallest=model.smallest,
@@ -312,7 +312,7 @@
 
 
 def convert_upstream(name: str, model: UpstreamModel) -> state.Upstream:
-    """Turn a checked upstream into its data class."""
+    """Convert a validated upstream into its data class."""
     fields = model.model_dump() | {'kind': state.UpstreamKind(model.kind)}
     return state.Upstream(name, **fields)
 
@@ -321,7 +321,7 @@
     name: str,
     model: ServiceLevelModel,
 ) -> state.ServiceLevel:
-    """Turn a checked service level into its data class."""
+    """Convert a validated service level into its data class."""
     threshold = None
     if model.threshold_seconds is not None:
         threshold = timedelta(seconds=model.threshold_seconds)
--- a/quetzalcourse/settings/process.py
+++ b/quetzalcourse/settings/process.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon, read from a TOML file."""
+"""Validation of the settings that a daemon reads from a TOML file."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 def check_address(text: str) -> str:
-    """Check that an address is an IP number and a port."""
+    """Check that an address is an IP address and a port."""
     host, separator, port = text.rpartition(':')
     if not separator or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError('must be an IP number and a port, as 127.0.0.1:80')
+        raise ValueError('must be an IP address and a port, as 127.0.0.1:80')
     ipaddress.ip_address(host)
     return text
 
@@ -39,7 +39,7 @@
 
 
 class SettingsModel(BaseModel):
-    """Base of settings: unknown keys are faults."""
+    """Base model of settings, which rejects unknown keys."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
@@ -56,7 +56,7 @@
 
 
 class PlatformSettings(SettingsModel):
-    """The platform's address and patience with it."""
+    """Address of the platform's services and how to poll them."""
 
     address: Address
     timeout_seconds: float = Field(default=2.0, gt=0)
@@ -64,12 +64,12 @@
 
 
 class LimitSettings(SettingsModel):
-    """Bounds on what one caller may cost.
+    """Limits on the requests of one caller.
 
     :param body_bytes: largest body of a request to a model or a step.
     :param service_body_bytes: largest body of a call to a plain service.
-    :param sender_seconds: how long a caller may send nothing of a body.
-    :param reader_seconds: how long a caller may take nothing of an answer.
+    :param sender_seconds: longest pause while a caller sends a body.
+    :param reader_seconds: longest pause while a caller reads a response.
     """
 
     body_bytes: int = Field(default=8_000_000, gt=0)
@@ -79,7 +79,7 @@
 
 
 class LogSettings(SettingsModel):
-    """What is logged, and how."""
+    """Level and format of the log."""
 
     level: Literal['debug', 'info', 'warning', 'error'] = 'info'
     format: Literal['console', 'json'] = 'json'
@@ -88,8 +88,9 @@
 class DrainSettings(SettingsModel):
     """Times of a graceful shutdown.
 
-    :param balancer_seconds: wait after readiness has gone.
-    :param deadline_seconds: time after which streams are cut.
+    :param balancer_seconds: time for the load balancer to notice that the
+        daemon is not ready.
+    :param deadline_seconds: time after which running requests are cut off.
     """
 
     balancer_seconds: float = Field(default=5.0, ge=0)
@@ -97,7 +98,7 @@
 
     @model_validator(mode='after')
     def check_order(self) -> DrainSettings:
-        """Refuse a wait that outlasts the deadline."""
+        """Reject a wait that outlasts the deadline."""
         if self.balancer_seconds >= self.deadline_seconds:
             raise ValueError('balancer_seconds must be below deadline_seconds')
         return self
@@ -106,12 +107,12 @@
 class PeeringSettings(SettingsModel):
     """Messages between daemons.
 
-    :param secrets: shared by all daemons; the first one signs what is sent,
-        each one is accepted. Without any the daemon stays alone.
-    :param refuse_keys_after_seconds: age of the newest word from the store
-        above which every key is refused; 0 serves however old it is.
+    :param secrets: shared by all daemons; the first one signs messages, and
+        every one is accepted. A daemon without secrets has no peers.
+    :param refuse_keys_after_seconds: age of the last update from the store
+        above which every key is refused; 0 means no limit.
     :param seeds: addresses of daemons to try besides the platform's list.
-    :param suspicion_seconds: time that a silent daemon has to answer.
+    :param suspicion_seconds: time that a suspected daemon has to respond.
     """
 
     secrets: list[Annotated[str, Field(min_length=16)]] = Field(
@@ -124,7 +125,7 @@
 
 
 class OperatorSettings(SettingsModel):
-    """Who may change keys through this daemon.
+    """Operators who may change keys through this daemon.
 
     :param key_hashes: SHA-256 of each operator key, in hexadecimal.
     """
@@ -133,13 +134,14 @@
 
 
 class LeaseSettings(SettingsModel):
-    """Times of the leases on orders and usage reports.
+    """Timings of the leases on orders and usage reports.
 
-    :param term_seconds: how long a confirmed renewal lasts.
+    :param term_seconds: duration of a lease after a confirmed renewal.
     :param margin_seconds: extra wait of the next holder.
-    :param order_timeout_seconds: time that an order may take; orders stop so
-        long before the term's end, and the next holder waits so much longer.
-    :param drift_bound: most that a clock's rate is off, as a share.
+    :param order_timeout_seconds: timeout of an order. A holder sends no orders
+        that long before its lease ends, and the next one waits that much
+        longer.
+    :param drift_bound: largest error of a clock's rate, as a share.
     """
 
     term_seconds: float = Field(default=10.0, gt=0)
@@ -149,7 +151,7 @@
 
     @model_validator(mode='after')
     def check_parts(self) -> LeaseSettings:
-        """Refuse a margin that clocks may outrun, and a term too short."""
+        """Reject a margin below the clock drift, and too short a term."""
         term = timedelta(seconds=self.term_seconds)
         min_margin = compute_min_margin(term, self.drift_bound).total_seconds()
         if self.margin_seconds < min_margin:
@@ -165,11 +167,11 @@
 
 
 class UsageSettings(SettingsModel):
-    """Counting and reporting of usage; the same at every daemon.
+    """Counting and reporting of usage; the same for every daemon.
 
     :param window_seconds: length of a window.
     :param grace_seconds: time after a window's end until it is frozen.
-    :param copy_seconds: time between copies to peers.
+    :param copy_seconds: interval at which counts are replicated to peers.
     """
 
     window_seconds: float = Field(default=3600.0, ge=1)
@@ -178,20 +180,20 @@
 
     @model_validator(mode='after')
     def check_order(self) -> UsageSettings:
-        """Refuse a grace in which no daemon could store its window."""
+        """Reject a grace period too short for daemons to store a window."""
         if self.grace_seconds < 2 * self.copy_seconds:
             raise ValueError('grace_seconds must be twice copy_seconds')
         return self
 
 
 class WeightSettings(SettingsModel):
-    """How new weights come onto the engines of the data centre.
+    """Rolling updates of the weights on the data centre's engines.
 
-    :param serving_share: share of the slots that go on serving meanwhile.
-    :param loads_per_second: loads that the weight store allows this data
-        centre to begin.
-    :param swap_seconds: time after which a swap counts as failed; longer
-        than a load and the lag of reports together.
+    :param serving_share: share of the slots that stay in service meanwhile.
+    :param loads_per_second: rate at which the weight store allows this data
+        centre to start loads.
+    :param swap_seconds: timeout of a swap; longer than a load and the delay
+        of reports together.
     """
 
     serving_share: float = Field(default=0.75, ge=0, lt=1)
@@ -200,10 +202,10 @@
 
 
 class ProcessSettings(SettingsModel):
-    """Everything that one daemon is told at its start.
+    """All settings of one daemon.
 
     :param vm: id of the VM.
-    :param data_centre: where the VM stands.
+    :param data_centre: data centre of the VM.
     """
 
     vm: str = Field(min_length=1)
@@ -221,10 +223,10 @@
 
 
 def load_settings(path: Path) -> Result[ProcessSettings, list[SettingFault]]:
-    """Read and check the settings of a daemon.
+    """Read and validate the settings of a daemon.
 
     :param path: the TOML file.
-    :returns: the settings, or all faults at once.
+    :returns: the settings, or all errors.
     """
     try:
         document = tomllib.loads(path.read_text())
--- a/quetzalcourse/settings/rollout.py
+++ b/quetzalcourse/settings/rollout.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon that runs on a platform, as the daemon uses them."""
+"""Settings of a daemon on a platform, independent of the platform."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenAddresses:
-    """IP number and port of each thing that the daemon serves.
+    """Listen addresses of the daemon, each an IP address and a port.
 
-    :param callers: where callers connect.
-    :param readiness: where the balancer asks whether to send callers.
-    :param peers: where the other daemons send messages.
-    :param metrics: where counters are read.
+    :param callers: address for callers.
+    :param readiness: address of the load balancer's readiness probe.
+    :param peers: address for messages of the other daemons.
+    :param metrics: address from which metrics are scraped.
     """
 
     callers: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTimings:
-    """Times that operators and platform expect of the daemons.
+    """Times that operators and the platform require of the daemons.
 
     :param stop_deadline: time from the stop signal until the platform kills
         the process.
@@ -52,10 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStartTolerance:
-    """How far the rate of a cold upstream may be exceeded.
+    """Tolerance by which a cold upstream's rate limit may be exceeded.
 
-    :param overage: factor on the rate.
-    :param slack: requests beyond that in any second.
+    :param overage: factor on the rate limit.
+    :param slack: additional requests in any second.
     """
 
     overage: float = 1
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """Everything that a daemon is told at its start.
+    """All settings of a daemon on a platform.
 
     :param vm: name of the VM.
     :param duties: duties that this deployment has.
     :param peer_secret: signs messages between daemons.
-    :param cores: processor time of the VM, in cores.
+    :param cores: CPU capacity of the VM, in cores.
     :param regions: region of each data centre.
-    :param cold_start: how cold upstreams may be used.
+    :param cold_start: tolerance on the rate limits of cold upstreams.
     """
 
     vm: str
