--- a/quetzalcourse/commands/apply.py
+++ b/quetzalcourse/commands/apply.py
@@ -1,4 +1,4 @@
-"""``quetzalctl apply``: make a manifest the accepted one."""
+"""``quetzalctl apply``: put a manifest in force."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser('apply', help='accept a manifest')
+    parser = subparsers.add_parser('apply', help='put a manifest in force')
     parser.add_argument('manifest', type=Path, metavar='FILE')
     parser.add_argument(
         '--replaces',
         type=int,
         required=True,
         metavar='VERSION',
-        help='version that the manifest is meant to replace, 0 for none',
+        help='version that the manifest replaces, 0 for none',
     )
     parser.add_argument('--json', action='store_true')
     add_platform_option(parser)
@@ -39,9 +39,10 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Apply the named manifest.
+    """Apply a manifest file.
 
-    :raises AbortError: with each fault, or with the version that won.
+    :raises AbortError: with all errors of the file, or with the version in
+        force if it is not the expected one.
     """
     loaded = load_manifest(options.manifest)
     if isinstance(loaded, Err):
--- a/quetzalcourse/commands/burn_page.py
+++ b/quetzalcourse/commands/burn_page.py
@@ -1,4 +1,4 @@
-"""Burn of the error budgets as an HTML page that needs no network."""
+"""Self-contained HTML page of the error budgets' burn rates."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def render_page(burns: Sequence[LevelBurn], unreachable: Sequence[str]) -> str:
-    """Write the whole page.
+    """Render the page.
 
     :param unreachable: daemons whose events are missing.
     """
@@ -49,12 +49,12 @@
 
 
 def render_missing(daemon: str) -> str:
-    """Write that a daemon's events are missing."""
+    """Render a note that a daemon's events are missing."""
     return f'<p>No answer from {html.escape(daemon)}.</p>'
 
 
 def render_level(burn: LevelBurn) -> str:
-    """Write one service level with its plot."""
+    """Render one service level with its plot."""
     rows = (
         ('objective', f'{burn.objective:.2%}'),
         ('events', f'{burn.events.total:.0f}'),
@@ -77,13 +77,13 @@
 
 
 def describe_limits() -> str:
-    """Say what the dashed lines of a plot mean."""
+    """Explain the dashed lines of a plot."""
     limits = [f'{rule.alert.value} at {rule.rate:g}' for rule in ALERT_RULES]
     return f'Dashed lines: {", ".join(limits)}.'
 
 
 def plot_rates(burn: LevelBurn) -> str:
-    """Draw the burn rates as bars, with a line at each alert's rate."""
+    """Draw the burn rates as bars, with a line at each alert threshold."""
     highest = max(
         SMALLEST_SCALE,
         *burn.rates.values(),
@@ -114,7 +114,7 @@
 ) -> str:
     """Draw the burn rate of one window.
 
-    :param scale: pixels for a burn rate of one.
+    :param scale: pixels per unit of the burn rate.
     """
     rate = burn.rates[window]
     top = index * (BAR_HEIGHT + BAR_GAP)
@@ -131,9 +131,9 @@
 
 
 def draw_limit(offset: float, height: int, colour: str) -> str:
-    """Draw the rate at which an alert begins.
+    """Draw the threshold of an alert.
 
-    :param offset: pixels from the rate of zero.
+    :param offset: distance from a burn rate of zero, in pixels.
     """
     place = f'{LABEL_WIDTH + offset:.1f}'
     return (
--- a/quetzalcourse/commands/check.py
+++ b/quetzalcourse/commands/check.py
@@ -1,4 +1,4 @@
-"""``quetzalctl check``: find every fault of settings and manifest."""
+"""``quetzalctl check``: validate settings and manifest."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
         '--platform-settings',
         type=Path,
         metavar='FILE',
-        help='settings file as the platform writes it',
+        help='settings file that the platform writes',
     )
     parser.add_argument('--json', action='store_true')
     parser.set_defaults(run=run, parser=parser)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Check the named files.
+    """Validate the given files.
 
-    :returns: 0 if they have no fault.
+    :returns: exit code, 0 if all are valid.
     """
     named = (options.settings, options.manifest, options.platform_settings)
     if not any(named):
-        options.parser.error('name a file to check')
+        options.parser.error('give at least one file to check')
     faults: list[SettingFault] = []
     if options.settings is not None:
         faults.extend(_list_faults(load_settings(options.settings)))
--- a/quetzalcourse/commands/demo.py
+++ b/quetzalcourse/commands/demo.py
@@ -1,4 +1,4 @@
-"""``quetzalctl demo``: a daemon with embedded stand-ins in one process."""
+"""``quetzalctl demo``: a daemon and simulated services in one process."""
 
 from __future__ import annotations
 
@@ -34,14 +34,16 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser('demo', help='try everything on loopback')
+    parser = subparsers.add_parser('demo', help='show all features on loopback')
     parser.add_argument(
-        '--serve', action='store_true', help='stay up for tries with curl'
+        '--serve',
+        action='store_true',
+        help='keep running, for requests with curl',
     )
     parser.add_argument(
         '--platform',
         action='store_true',
-        help='show two daemons on a platform of stand-ins',
+        help='show two daemons on a simulated platform',
     )
     parser.add_argument(
         '--callers',
@@ -53,7 +55,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run the demo, or keep it up until a signal comes."""
+    """Run the demo, or serve until a signal arrives."""
     if options.platform:
         configure_log('critical', FORMATS[0])
         return run_loop(_show_platform())
@@ -62,7 +64,7 @@
 
 
 async def _show_platform() -> int:
-    # Only this way of the demo loads the stand-ins of the platform.
+    # Imported here because only this demo needs the simulated platform.
     from quetzalcourse.commands.platform_demo import (  # noqa: PLC0415, WPS433
         show_platform,
     )
--- a/quetzalcourse/commands/key.py
+++ b/quetzalcourse/commands/key.py
@@ -1,4 +1,4 @@
-"""``quetzalctl key``: make, grant, withdraw and list keys."""
+"""``quetzalctl key``: generate, grant, withdraw and list API keys."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser('key', help='make and change keys')
+    parser = subparsers.add_parser('key', help='generate and change keys')
     actions = parser.add_subparsers(metavar='ACTION', required=True)
-    make = actions.add_parser('make', help='make a key and its hash')
+    make = actions.add_parser('make', help='generate a key and its hash')
     make.add_argument('key_id', metavar='KEY_ID')
     make.set_defaults(run=run_make)
-    grant = actions.add_parser('grant', help='make a key work')
+    grant = actions.add_parser('grant', help='grant a key to a client account')
     grant.add_argument('key_id', metavar='KEY_ID')
     grant.add_argument('--account', required=True, metavar='CLIENT_ACCOUNT')
     grant.add_argument('--sha256', required=True, metavar='HASH')
     grant.set_defaults(run=run_grant)
-    withdraw = actions.add_parser('withdraw', help='stop a key for good')
+    withdraw = actions.add_parser('withdraw', help='withdraw a key permanently')
     withdraw.add_argument('key_id', metavar='KEY_ID')
     withdraw.set_defaults(run=run_withdraw)
-    listing = actions.add_parser('list', help='list changes of keys')
+    listing = actions.add_parser('list', help='list granted and withdrawn keys')
     listing.set_defaults(run=run_list)
     for action in (grant, withdraw, listing):
         _add_target(action)
@@ -51,19 +51,19 @@
     parser.add_argument(
         '--daemon',
         metavar='IP:PORT',
-        help='used if the platform is not named or not reached',
+        help='used if the platform is not given or not reachable',
     )
     parser.add_argument(
         '--operator-key-file',
         type=Path,
         metavar='FILE',
-        help='holds the operator key that the daemon asks for',
+        help='file with the operator key for the daemon',
     )
     parser.add_argument('--json', action='store_true')
 
 
 def run_make(options: argparse.Namespace) -> int:
-    """Print a new key, and the hash that grants it."""
+    """Print a new key and the hash that grants it."""
     secret = secrets.token_urlsafe(SECRET_BYTES)
     write_json(
         {
@@ -75,24 +75,25 @@
 
 
 def run_grant(options: argparse.Namespace) -> int:
-    """Make a key work.
+    """Grant a key to a client account.
 
-    :raises AbortError: if it was withdrawn, or nobody could be told.
+    :raises AbortError: if it was withdrawn, or neither the table nor a daemon
+        could be reached.
     """
     record = KeyRecord(options.key_id, options.account, options.sha256)
     return run_loop(_change(options, record))
 
 
 def run_withdraw(options: argparse.Namespace) -> int:
-    """Stop a key for good.
+    """Withdraw a key permanently.
 
-    :raises AbortError: if nobody could be told.
+    :raises AbortError: if neither the table nor a daemon could be reached.
     """
     return run_loop(_change(options, build_tombstone(options.key_id)))
 
 
 def run_list(options: argparse.Namespace) -> int:
-    """List the keys that were granted or withdrawn."""
+    """List granted and withdrawn keys."""
     return run_loop(_list(options))
 
 
@@ -123,8 +124,8 @@
 ) -> KeyRecord | None:
     """Write a change to the table.
 
-    :returns: what the table then holds of the key, ``None`` if the table
-        can't be reached and a daemon can be asked.
+    :returns: the merged record of the key, ``None`` if the change has to go
+        through a daemon because the table was not given or not reachable.
     """
     if not options.platform:
         return None
@@ -197,7 +198,7 @@
 ) -> bytes:
     if not options.daemon or not options.operator_key_file:
         raise AbortError(
-            'name --platform, or --daemon with --operator-key-file'
+            'give --platform, or --daemon with --operator-key-file'
         )
     try:
         secret = options.operator_key_file.read_text().strip()
--- a/quetzalcourse/commands/output.py
+++ b/quetzalcourse/commands/output.py
@@ -1,4 +1,4 @@
-"""What commands print, for people and for scripts."""
+"""Output of commands as lines, tables and JSON."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def write_json(document: Any) -> None:
-    """Print a document for a script."""
+    """Print a document as JSON."""
     write_line(json.dumps(document, indent=2, sort_keys=True))
 
 
 def write_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-    """Print rows in columns.
+    """Print rows in aligned columns.
 
-    :param header: titles of the columns.
+    :param header: column titles.
     """
     lines = [header, *rows]
     widths = [max(len(cell) for cell in column) for column in zip(*lines)]
--- a/quetzalcourse/commands/platform.py
+++ b/quetzalcourse/commands/platform.py
@@ -1,4 +1,4 @@
-"""The platform's services for commands that work without a daemon."""
+"""Access to the platform for commands that need no daemon."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def add_platform_option(parser: argparse.ArgumentParser) -> None:
-    """Add the option that names the platform."""
+    """Add the option for the platform's address."""
     parser.add_argument(
         '--platform',
         required=True,
@@ -28,9 +28,9 @@
 
 @asynccontextmanager
 async def open_platform(address: str) -> AsyncIterator[PlatformClient]:
-    """Connect to the platform for the length of a command.
+    """Connect to the platform for the duration of a command.
 
-    :param address: IP number and port.
+    :param address: IP address and port.
     """
     async with aiohttp.ClientSession() as session:
         yield PlatformClient(session, address, TIMEOUT_SECONDS)
--- a/quetzalcourse/commands/platform_demo.py
+++ b/quetzalcourse/commands/platform_demo.py
@@ -1,4 +1,4 @@
-"""``quetzalctl demo --platform``: two daemons on a platform of stand-ins."""
+"""``quetzalctl demo --platform``: two daemons on a simulated platform."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 LOOKUPS = 8
 ITEMS = [f'item-{number}' for number in range(24)]
 NAMED_VERSION = 2
-# A request for tokens takes longer than the demo waits before it ends the
-# owner of its batch.
+# Slows generation down, so that requests are still running when the demo
+# stops the owner of their batch.
 SLOWDOWN_FACTOR = 4
 DELAY_BEFORE_STOP = timedelta(milliseconds=300)
 VERSION_SECONDS = 10
@@ -28,7 +28,7 @@
 
 
 async def show_platform() -> int:
-    """Play the whole path on a platform of stand-ins, and print it."""
+    """Run requests, a weight update, a batch and usage; print the results."""
     world = RolloutWorld(daemons=2)
     await world.start()
     try:
--- a/quetzalcourse/commands/quarantine.py
+++ b/quetzalcourse/commands/quarantine.py
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
-    """A quarantined request as operators see it.
+    """A quarantined request in the command's output.
 
-    :param age_seconds: how long ago it was quarantined, or its last trial
-        began.
-    :param trials: trials that were begun.
-    :param upstreams: names of upstreams that ended under it.
+    :param age_seconds: time since it was quarantined, or since its last trial
+        started.
+    :param trials: number of trials started.
+    :param upstreams: names of upstreams that crashed while running it.
     """
 
     fingerprint: str
@@ -69,23 +69,23 @@
             type=Path,
             required=True,
             metavar='FILE',
-            help='settings file as the platform writes it',
+            help='settings file that the platform writes',
         )
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run an action against the platform's store.
+    """Run an action on the platform's store.
 
-    :returns: 0 if it was done.
-    :raises AbortError: if the settings are faulty or the store fails.
+    :returns: exit code, 0 for success.
+    :raises AbortError: if the settings are invalid or the store fails.
     """
     return run_loop(run_action(options.action, options))
 
 
 async def run_action(action: Action, options: argparse.Namespace) -> int:
-    """Open the store for the length of an action.
+    """Open the store for the duration of an action.
 
-    :raises AbortError: if the settings are faulty.
+    :raises AbortError: if the settings are invalid.
     """
     loaded = load_file(options.platform_settings)
     if isinstance(loaded, Err):
@@ -123,9 +123,9 @@
 
 
 async def lift_request(store: StoreClients, options: argparse.Namespace) -> int:
-    """Remove the row of a request, which all daemons follow.
+    """Delete a request's quarantine row, whose table all daemons follow.
 
-    :returns: 0 if it was quarantined.
+    :returns: exit code, 0 if the request was quarantined.
     """
     found = await read_requests(store)
     if options.fingerprint not in {request.fingerprint for request in found}:
--- a/quetzalcourse/commands/report.py
+++ b/quetzalcourse/commands/report.py
@@ -1,4 +1,4 @@
-"""``quetzalctl report burn``: how fast the error budgets are spent."""
+"""``quetzalctl report burn``: burn rates of the error budgets."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
     """Add the subcommand."""
     parser = subparsers.add_parser('report', help='reports for operators')
     reports = parser.add_subparsers(metavar='REPORT', required=True)
-    burn = reports.add_parser('burn', help='burn of the error budgets')
+    burn = reports.add_parser('burn', help='burn rates of the error budgets')
     burn.add_argument('--manifest', type=Path, required=True, metavar='FILE')
     burn.add_argument(
         '--daemon',
         action='append',
         required=True,
         metavar='IP:PORT',
-        help='address of a daemon for callers; give one for each daemon',
+        help='address of a daemon for callers; repeat for each daemon',
     )
     burn.add_argument(
         '--platform',
@@ -66,9 +66,9 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the burn of every service level of a manifest.
+    """Print the burn rates of every service level of a manifest.
 
-    :raises AbortError: if the manifest has faults or no daemon answers.
+    :raises AbortError: if the manifest is invalid or no daemon responds.
     """
     loaded = load_manifest(options.manifest)
     if isinstance(loaded, Err):
@@ -102,13 +102,13 @@
     levels: Sequence[ServiceLevel],
     events: dict[str, LevelEvents],
 ) -> None:
-    """Take the events of accounts from the table in place of the daemons'.
+    """Replace the events of accounts by those from the platform's table.
 
-    The table has the events of daemons that are gone, too.
+    The table also has the events of daemons that have ended.
 
     :param address: address of the platform's services.
     :param events: events by service level, changed in place.
-    :raises AbortError: if the table gives no answer.
+    :raises AbortError: if the table cannot be read.
     """
     today = datetime.now(UTC).date()
     async with open_platform(address) as platform:
@@ -126,11 +126,11 @@
     daemons: Sequence[str],
     events: dict[str, LevelEvents],
 ) -> list[str]:
-    """Add up the events of every daemon that answers.
+    """Sum the events of all daemons that respond.
 
     :param daemons: addresses for callers.
     :param events: events by service level, added to in place.
-    :returns: daemons that gave no answer.
+    :returns: daemons that did not respond.
     """
     unreachable = []
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
@@ -146,7 +146,7 @@
 
 
 def print_burns(burns: Sequence[LevelBurn], unreachable: Sequence[str]) -> None:
-    """Print the burns as a table.
+    """Print the burn rates as a table.
 
     :param unreachable: daemons whose events are missing.
     """
@@ -156,7 +156,7 @@
 
 
 def format_burn(burn: LevelBurn) -> list[str]:
-    """Write a burn as a row of the table."""
+    """Format the burn rates of a service level as a table row."""
     worst = '-'
     if burn.worst_account:
         worst = f'{burn.worst_account} ({burn.worst_share:.2%} good)'
@@ -175,7 +175,7 @@
     burns: Sequence[LevelBurn],
     unreachable: Sequence[str],
 ) -> dict[str, Any]:
-    """Build the report for a script."""
+    """Build the JSON document of the report."""
     return {
         'service_levels': [
             {
--- a/quetzalcourse/commands/status.py
+++ b/quetzalcourse/commands/status.py
@@ -1,4 +1,4 @@
-"""``quetzalctl status``: what a daemon says of itself."""
+"""``quetzalctl status``: show the status page of a daemon."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser('status', help='show a daemon')
+    parser = subparsers.add_parser('status', help='show the status of a daemon')
     parser.add_argument('--daemon', required=True, metavar='IP:PORT')
     parser.add_argument('--json', action='store_true')
     parser.set_defaults(run=run)
--- a/quetzalcourse/commands/trace.py
+++ b/quetzalcourse/commands/trace.py
@@ -1,4 +1,4 @@
-"""``quetzalctl trace``: the story of one request, from daemons' logs."""
+"""``quetzalctl trace``: the log lines of one request, from all daemons."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Fields that name what a line is about.
+# Fields whose values are ids that can be traced.
 ID_FIELDS = ('request_id', 'batch', 'item', 'call', 'fingerprint')
-# Fields that every line has, or that the story shows elsewhere.
+# Fields that every line has, or that the output shows elsewhere.
 COMMON_FIELDS = frozenset(('event', 'level', 'timestamp', 'part', 'vm'))
 EXIT_NOT_FOUND = 1
 
 
 @dataclass(frozen=True, slots=True)
 class TraceLine:
-    """A log line that could be read.
+    """A parsed log line.
 
-    :param source: daemon that wrote it, or the file if it doesn't say.
+    :param source: VM of the daemon, or the prefix or file name of the line.
     """
 
     timestamp: str
@@ -38,7 +38,7 @@
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
     parser = subparsers.add_parser(
-        'trace', help="tell a request's story from logs"
+        'trace', help='show the log lines of a request'
     )
     parser.add_argument(
         'id',
@@ -50,9 +50,9 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the lines about an id in the order of their times.
+    """Print the lines with an id in order of time.
 
-    :returns: 0 if there were any.
+    :returns: exit code, 0 if there were any.
     """
     unreadable = 0
     found: list[TraceLine] = []
@@ -67,7 +67,7 @@
         write_line(format_line(line))
     if unreadable:
         sys.stderr.write(
-            f'{unreadable} lines could not be read; the story may have gaps\n'
+            f'{unreadable} lines could not be read; the trace may have gaps\n'
         )
     return 0 if found else EXIT_NOT_FOUND
 
@@ -76,7 +76,7 @@
     found: list[TraceLine],
     options: argparse.Namespace,
 ) -> list[TraceLine]:
-    """Add what happened to the batches of the items that were found.
+    """Add the lines of the batches whose items were found.
 
     An item's own lines don't say why it waited: its batch may have had no
     owner meanwhile.
@@ -100,12 +100,12 @@
     lines: Iterable[str],
     source: str,
 ) -> Iterator[TraceLine | None]:
-    """Read log lines.
+    """Parse log lines.
 
-    Lines of several daemons may stand in one file, each behind a prefix of
-    whoever collected them, and some may be cut.
+    A file may have lines of several daemons, each with a prefix of the log
+    collector, and some may be truncated.
 
-    :returns: the lines, ``None`` for one that can't be read.
+    :returns: the lines, ``None`` for one that cannot be parsed.
     """
     for text in lines:
         if not text.strip():
@@ -129,12 +129,12 @@
 
 
 def matches_id(line: TraceLine, wanted: str) -> bool:
-    """Tell whether a line is about a request, a batch, an item or its score."""
+    """Check whether a line has an id of a request, batch, item or scoring."""
     return any(line.details.get(name) == wanted for name in ID_FIELDS)
 
 
 def format_line(line: TraceLine) -> str:
-    """Write a line for a person."""
+    """Format a line as text."""
     details = ' '.join(f'{name}={text}' for name, text in line.details.items())
     clock = line.timestamp.partition('T')[2].rstrip('Z') or '-'
     return f'{clock} {line.source} {line.part}: {line.event} {details}'
--- a/quetzalcourse/commands/usage.py
+++ b/quetzalcourse/commands/usage.py
@@ -1,4 +1,4 @@
-"""``quetzalctl usage explain``: which daemons counted a reported figure."""
+"""``quetzalctl usage explain``: break a usage report down by daemon."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Part of a report that one daemon counted.
+    """Usage in a report that one daemon counted.
 
-    :param window: window in which it was counted; an earlier one than the
-        report's if it came late.
+    :param window: window of the counts; for late counts it is earlier than
+        that of the report.
     """
 
     incarnation: str
@@ -59,10 +59,10 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser('usage', help='look into usage reports')
+    parser = subparsers.add_parser('usage', help='inspect usage reports')
     actions = parser.add_subparsers(metavar='ACTION', required=True)
     explain = actions.add_parser(
-        'explain', help='follow a figure back to the daemons that counted it'
+        'explain', help='break a report down by the daemons that counted'
     )
     explain.add_argument('window', metavar='WINDOW', help='20260101T000000Z')
     explain.add_argument('account', metavar='ACCOUNT')
@@ -72,7 +72,7 @@
 
 
 def run_explain(options: argparse.Namespace) -> int:
-    """Print a report's figures of an account, daemon by daemon."""
+    """Print the reported usage of an account for each daemon."""
     return run_loop(_explain(options))
 
 
@@ -81,11 +81,11 @@
     window: str,
     account: str,
 ) -> tuple[UsageByKey, list[Share]]:
-    """Find the figures of a report and the rows that they were summed from.
+    """Read the figures of a report and the rows from which it was summed.
 
-    :returns: the report's figures for the account, late ones included, and
-        the daemons' shares in them.
-    :raises AbortError: if the table can't be read or there is no report.
+    :returns: the reported figures of the account, including late ones, and
+        the shares of the daemons.
+    :raises AbortError: if the table cannot be read or has no report.
     """
     answer = await table.read(build_report_key(window))
     if isinstance(answer, Err):
@@ -120,14 +120,14 @@
 def list_shares(
     incarnation: str, window: str, counted: UsageByKey
 ) -> list[Share]:
-    """Turn a daemon's figures into its shares in a report."""
+    """Convert a daemon's figures into its shares of a report."""
     return [
         Share(incarnation, window, key, counted[key]) for key in sorted(counted)
     ]
 
 
 def sum_shares(shares: list[Share]) -> UsageByKey:
-    """Add the shares of all daemons."""
+    """Sum the shares of all daemons."""
     total: UsageByKey = {}
     for share in shares:
         total = add_entries(total, {share.key: share.figures})
@@ -160,7 +160,7 @@
 
 
 def format_share(share: Share) -> tuple[str, ...]:
-    """Write a share as a row of the table."""
+    """Format a share as a table row."""
     figures = share.figures
     cells = [
         share.incarnation,
