--- a/quetzalcourse/tests/commands/__init__.py
+++ b/quetzalcourse/tests/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package of the same name."""
+"""Tests of ``quetzalcourse.commands``."""
--- a/quetzalcourse/tests/commands/check_tests.py
+++ b/quetzalcourse/tests/commands/check_tests.py
@@ -1,4 +1,4 @@
-"""``quetzalctl check``: every fault at once, with file, key and reason."""
+"""Tests of ``quetzalctl check``: all errors with file, key and reason."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 def check(folder: Path, text: str) -> int:
-    """Check the text of a manifest."""
+    """Run the command on the text of a manifest."""
     path = folder / 'manifest.toml'
     path.write_text(text)
     return main(['check', '--manifest', str(path), '--json'])
 
 
-def test_good_manifest_has_no_fault(
+def test_valid_manifest_has_no_error(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -88,14 +88,15 @@
         ('not toml', ['']),
     ],
 )
-def test_every_fault_is_named(
+def test_every_error_is_reported_with_its_key(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     text: str,
     keys: list[str],
 ) -> None:
-    # A build pipeline writes a manifest with faults. Accepted, it would take
-    # keys or upstreams away; told one by one, each costs a pipeline run.
+    # A build pipeline generates an invalid manifest. If accepted, it would
+    # remove keys or upstreams. Errors reported one at a time would each cost
+    # a run of the pipeline.
     assert check(tmp_path, text) == 1
     faults = json.loads(capsys.readouterr().out)['faults']
     assert [fault['key'] for fault in faults] == keys
@@ -103,7 +104,7 @@
     assert all(fault['file'].endswith('.toml') for fault in faults)
 
 
-def test_missing_file_is_told(
+def test_missing_file_is_reported(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
--- a/quetzalcourse/tests/commands/demo_tests.py
+++ b/quetzalcourse/tests/commands/demo_tests.py
@@ -1,4 +1,4 @@
-"""The demo of the whole path on a platform of stand-ins."""
+"""Tests of ``quetzalctl demo --platform``."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     import pytest
 
 
-def test_platform_demo_shows_the_whole_path(
+def test_platform_demo_completes_a_batch_after_failover(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # One of the two daemons is ended while it owns a batch. Whoever tries
-    # the demo sees every item come back from the other one.
+    # One of the two daemons is stopped while it owns a batch. The other one
+    # must take the batch over and return every item.
     assert main(['demo', '--platform']) == 0
     shown = capsys.readouterr().out
     assert '8 served' in shown
--- a/quetzalcourse/tests/commands/key_tests.py
+++ b/quetzalcourse/tests/commands/key_tests.py
@@ -1,4 +1,4 @@
-"""Operators change keys and manifests from the command line."""
+"""Tests of ``quetzalctl key`` and ``quetzalctl apply``."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest_asyncio.fixture
 async def deployment() -> AsyncIterator[Deployment]:
-    """Start stand-ins and a daemon that knows an operator."""
+    """Start simulated services and a daemon with an operator key."""
     running = Deployment(engine_count=1)
     await running.daemon.on_stop()
     running.daemon = Application(
@@ -50,7 +50,7 @@
 class Operator:
     """Runs commands against a deployment.
 
-    :param folder: holds the operator's files.
+    :param folder: folder for the operator's files.
     """
 
     def __init__(self, deployment: Deployment, folder: Path) -> None:
@@ -66,10 +66,10 @@
         ]
 
     async def run(self, *words: str, daemon: bool = False) -> int:
-        """Run a command as a process of its own would.
+        """Run a command in a thread, as it starts its own event loop.
 
-        :param daemon: whether a daemon is named besides the platform.
-        :returns: its exit code.
+        :param daemon: whether to give a daemon besides the platform.
+        :returns: exit code of the command.
         """
         target = [*self._platform, *(self._daemon if daemon else [])]
         return await asyncio.to_thread(main, [*words, *target])
@@ -82,8 +82,8 @@
     capsys: pytest.CaptureFixture[str],
     cut: bool,
 ) -> None:
-    # The same commands work through the table and, while the platform is out
-    # of reach, through a daemon; a withdrawn id can't be granted again.
+    # The same commands work through the table and, while the platform is
+    # unreachable, through a daemon. A withdrawn id cannot be granted again.
     operator = Operator(deployment, tmp_path)
     deployment.platform.faults.down = cut
     grant = ('key', 'grant', 'new', '--account', 'readers', '--sha256', DIGEST)
@@ -107,23 +107,24 @@
         ('withdraw', 'a b'),
     ],
 )
-async def test_faulty_change_reaches_nobody(
+async def test_invalid_key_change_is_not_stored(
     deployment: Deployment,
     tmp_path: Path,
     words: tuple[str, ...],
 ) -> None:
-    # A typing error must not make a row that no daemon can use.
+    # A typing error must not create a row that no daemon can use.
     operator = Operator(deployment, tmp_path)
     assert await operator.run('key', *words) == 1
     assert 'heads/keys' not in deployment.platform.table.rows
 
 
-async def test_unreached_platform_is_told(
+async def test_unreachable_platform_is_reported(
     deployment: Deployment,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # Without a daemon to ask, the operator has to know that nothing changed.
+    # Without a daemon as fallback, the operator must learn that nothing has
+    # changed.
     deployment.platform.faults.down = True
     operator = Operator(deployment, tmp_path)
     assert await operator.run('key', 'withdraw', 'new') == 1
@@ -131,13 +132,13 @@
     deployment.platform.faults.down = False
 
 
-async def test_loser_is_told_which_version_won(
+async def test_conflicting_apply_reports_the_version_in_force(
     deployment: Deployment,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # Two operators replace version 1. The second learns that version 2 won,
-    # and the first may repeat a command whose answer was lost.
+    # Two operators replace version 1. The second one gets an error with
+    # version 2, and the first may repeat a command whose response was lost.
     operator = Operator(deployment, tmp_path)
     first = tmp_path / 'first.toml'
     first.write_text(MANIFEST)
@@ -151,13 +152,13 @@
     assert 'version 2 is accepted' in capsys.readouterr().out
 
 
-async def test_faulty_manifest_is_refused_whole(
+async def test_invalid_manifest_is_rejected_completely(
     deployment: Deployment,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # A generated manifest has three faults. All are told at once, and not
-    # even its sound parts come into force.
+    # A generated manifest has three errors. All are reported at once, and
+    # even its valid sections must not come into force.
     operator = Operator(deployment, tmp_path)
     faulty = tmp_path / 'faulty.toml'
     faulty.write_text(
--- a/quetzalcourse/tests/commands/report_tests.py
+++ b/quetzalcourse/tests/commands/report_tests.py
@@ -1,4 +1,4 @@
-"""The burn report in its three forms, from the metrics of two daemons."""
+"""Tests of the burn report as table, JSON and HTML, for two daemons."""
 
 from __future__ import annotations
 
@@ -48,7 +48,10 @@
 
 
 def render_daemon(slow: int) -> str:
-    """Render the metrics of a daemon that served some requests slowly."""
+    """Render the metrics of a daemon.
+
+    :param slow: requests out of 40 that exceeded the latency threshold.
+    """
     counters = Counters()
     levels = ServiceLevelTracker(FakeClock(), counters)
     levels.on_manifest(Manifest(service_levels=LEVELS))
@@ -64,7 +67,7 @@
 
 @pytest.fixture
 def burns() -> list[LevelBurn]:
-    """Compute the burns of two daemons together."""
+    """Compute the burn rates of two daemons together."""
     events: dict[str, LevelEvents] = {}
     read_events(render_daemon(slow=0), events)
     read_events(render_daemon(slow=30), events)
@@ -93,12 +96,12 @@
     assert page == snapshot
 
 
-def test_no_daemon_answers(
+def test_unreachable_daemons_fail_the_report(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # Every daemon is down or the addresses are wrong. A report of zero
-    # events would look like an unspent budget.
+    # All daemons are down, or the addresses are wrong. A report of zero
+    # events would look like an unused budget.
     manifest = tmp_path / 'manifest.toml'
     manifest.write_text(
         '[service_levels.answered]\n'
--- a/quetzalcourse/tests/commands/trace_tests.py
+++ b/quetzalcourse/tests/commands/trace_tests.py
@@ -1,4 +1,4 @@
-"""``quetzalctl trace``: the steps of the operations page on kept logs."""
+"""Tests of ``quetzalctl trace`` and the operations page's examples."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def trace(
     subject: str, files: list[Path], capsys: pytest.CaptureFixture
 ) -> str:
-    """Trace an id through log files."""
+    """Run the command for an id and return its output."""
     main(['trace', subject, *map(str, files)])
     return capsys.readouterr().out
 
@@ -31,8 +31,8 @@
     subject: str,
     capsys: pytest.CaptureFixture,
 ) -> None:
-    # A line's event or field is renamed and the page keeps the old one.
-    # Whoever is on call then looks for something that is never written.
+    # An event or field is renamed but not on the page. The engineer on call
+    # would then search for lines that are never written.
     printed = trace(subject, EXTRACTS, capsys).splitlines()
     page = PAGE.read_text()
     shown = [line for line in SHOWN.findall(page) if subject in line]
@@ -41,10 +41,10 @@
     assert printed == sorted(printed)
 
 
-def test_story_of_a_batch_goes_over_daemons(
+def test_trace_of_a_batch_covers_all_its_owners(
     capsys: pytest.CaptureFixture,
 ) -> None:
-    """The lines of both owners are in order."""
+    """The lines of both owners of the batch are in order."""
     story = trace('72159ae3e6cd9dc7', EXTRACTS, capsys)
     accepted = story.index('Batch is accepted.')
     taken = story.index('Batch is taken over.')
@@ -52,13 +52,13 @@
     assert {'front-medina-hall-2', 'front-lac-hall-3'} <= set(story.split())
 
 
-def test_interleaved_and_cut_lines_are_read(
+def test_interleaved_and_truncated_lines_are_parsed(
     tmp_path: Path,
     capsys: pytest.CaptureFixture,
 ) -> None:
-    # The collector mixes daemons in one file, puts its own prefix before
-    # each line, and was killed in the middle of one. What can be read is
-    # shown, and the gap is told.
+    # The log collector mixes daemons in one file, prefixes each line and was
+    # killed in the middle of one. Readable lines are shown, and the gap is
+    # reported.
     mixed = tmp_path / 'all.log'
     lines = [
         f' 12.5 {path.stem} {line}'
@@ -72,14 +72,14 @@
     assert '1 lines could not be read' in output.err
 
 
-def test_unknown_id_is_told(capsys: pytest.CaptureFixture) -> None:
-    """Nothing is printed, and the exit code says so."""
+def test_unknown_id_fails(capsys: pytest.CaptureFixture) -> None:
+    """Nothing is printed, and the exit code is 1."""
     assert main(['trace', 'nothing', *map(str, EXTRACTS)]) == 1
     assert not capsys.readouterr().out
 
 
 def test_documented_events_exist() -> None:
-    # The page names an event that no part writes any more.
+    # Guards against events on the page that no code logs any more.
     table = (
         PAGE.read_text().partition('## Events')[2].partition('## Metrics')[0]
     )
