--- a/quetzalcourse/tests/bench_tests.py
+++ b/quetzalcourse/tests/bench_tests.py
@@ -1,4 +1,4 @@
-"""Counts of the bench that do not depend on the machine's speed."""
+"""Tests of bench suites whose figures do not depend on machine speed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 @pytest.mark.parametrize('name', DETERMINISTIC)
 def test_bounds_hold(name: str) -> None:
-    # A change makes a decision worse without breaking it. Nothing fails,
-    # and it shows only when somebody runs the whole bench.
+    # A change makes a decision worse without failing a test. It would show
+    # only in a run of the whole bench.
     suite = importlib.import_module(f'bench.suites.{name}')
     figures = asyncio.run(suite.measure())
     assert {figure.name for figure in figures} >= set(suite.FIGURES)
@@ -24,7 +24,7 @@
 
 
 def test_every_suite_loads() -> None:
-    """Guards against a bench that ends at a module which was renamed."""
+    """Guards against a bench that fails on a renamed module."""
     names = [name for suite in load_suites() for name in suite.FIGURES]
     assert len(names) == len(set(names)) > 20
 
--- a/quetzalcourse/tests/client_tests.py
+++ b/quetzalcourse/tests/client_tests.py
@@ -1,4 +1,4 @@
-"""A trainer's client against daemons over real sockets."""
+"""Tests of the trainer client with daemons over real sockets."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     deployment: Deployment,
 ) -> None:
     # The daemon that created and ran the step is replaced while its trainer
-    # reads. The trainer goes on through another and must not notice.
+    # reads. The trainer must get every sample once through another daemon.
     second = Application(build_settings(deployment.platform.address))
     await second.on_start()
     async with connect(deployment, f'http://{second.address}') as trainer:
@@ -73,8 +73,8 @@
 async def test_unacknowledged_batches_are_read_again(
     deployment: Deployment,
 ) -> None:
-    # A trainer's process dies in the middle of a batch. Its successor must
-    # get the whole batch, or the rest of it would be missing for ever.
+    # A trainer crashes in the middle of a batch. Its successor must get the
+    # whole batch, or the rest of it would be lost.
     async with connect(deployment) as trainer:
         await trainer.create(BODY)
         async for first in trainer.samples(TRAINER, 7):
@@ -98,14 +98,14 @@
         ({}, 'wrong.key', RefusalCode.unauthenticated),
     ],
 )
-async def test_wrong_steps_are_refused(
+async def test_invalid_steps_are_refused(
     deployment: Deployment,
     changes: dict[str, Any],
     key: str,
     code: RefusalCode,
 ) -> None:
-    # A trainer asks for something that can't be. Asking again would not
-    # help, so that it must be told at once.
+    # A trainer sends an invalid request. Retries would not help, so the call
+    # must fail at once.
     async with connect(deployment) as trainer:
         await trainer.create(BODY)
     fields = {name: getattr(BODY, name) for name in BODY.__struct_fields__}
@@ -116,11 +116,11 @@
 
 
 @pytest.mark.parametrize('cursor', ['-1', 'x', '1.5', '99'])
-async def test_bad_cursors_are_refused(
+async def test_invalid_cursors_are_refused(
     deployment: Deployment,
     cursor: str,
 ) -> None:
-    # A cursor that was never given out would skip samples in silence.
+    # A cursor that was never handed out would silently skip samples.
     async with connect(deployment) as trainer:
         await trainer.create(BODY)
     headers = {'Authorization': f'Bearer {TRAINER_KEY}'}
--- a/quetzalcourse/tests/daemon_tests.py
+++ b/quetzalcourse/tests/daemon_tests.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: machine rules, signals and faulty settings."""
+"""Tests of the daemon process: machine rules, signals and settings."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def build_document(platform: str) -> dict[str, Any]:
-    """Write settings of a daemon on ports that the system chooses."""
+    """Build settings of a daemon with ports that the system assigns."""
     return {
         'vm': 'vm-9',
         'data_centre': 'lac-hall',
@@ -49,7 +49,7 @@
 
 @pytest_asyncio.fixture
 async def deployment() -> AsyncIterator[Deployment]:
-    """Start stand-ins, and a manifest that names them."""
+    """Start simulated services and put a manifest for them in force."""
     running = Deployment(engine_count=1, token_seconds=0.002)
     await running.on_start()
     yield running
@@ -61,7 +61,7 @@
     deployment: Deployment,
     tmp_path: Path,
 ) -> AsyncIterator[DaemonProcess]:
-    """Start a daemon before the stand-ins."""
+    """Start a daemon process that uses the simulated services."""
     document = build_document(deployment.platform.address)
     process = DaemonProcess(tmp_path, document)
     await process.on_start()
@@ -70,7 +70,7 @@
 
 
 async def use_every_route(daemon: DaemonProcess) -> None:
-    """Ask for tokens, for a service and for the metrics."""
+    """Call a model, a service, the metrics and the readiness probe."""
     base = f'http://{daemon.address}'
     async with aiohttp.ClientSession(base, headers=HEADERS) as session:
         async with session.post('/v1/completions', json=STREAM_BODY) as answer:
@@ -83,7 +83,7 @@
 
 
 def list_opened(process: Path) -> list[str]:
-    """List what a process has open; a descriptor may close meanwhile."""
+    """List the open descriptors of a process; some may close meanwhile."""
     opened = []
     for entry in (process / 'fd').iterdir():
         with contextlib.suppress(FileNotFoundError):
@@ -92,8 +92,8 @@
 
 
 async def test_machine_rules_hold(daemon: DaemonProcess) -> None:
-    # A library sets up io_uring, forks a child for a banner or maps shared
-    # memory. The VMs forbid all three, and the daemon would be killed there.
+    # A library sets up io_uring, forks a child process for a banner, or maps
+    # shared memory. The VMs forbid all three and would kill the daemon.
     await use_every_route(daemon)
     process = Path('/proc') / str(daemon.pid)
     opened = list_opened(process)
@@ -109,12 +109,12 @@
     assert fields[REAPED_FAULTS_FIELD] == '0'
 
 
-async def test_stream_outlives_sigterm(
+async def test_stream_completes_after_sigterm(
     deployment: Deployment,
     daemon: DaemonProcess,
 ) -> None:
-    # The platform replaces a VM while a caller reads an answer. A daemon
-    # that stopped at once would leave the caller with half of it.
+    # The platform replaces a VM while a caller reads a response. A daemon
+    # that stopped at once would truncate it.
     base = f'http://{daemon.address}'
     async with aiohttp.ClientSession(base, headers=HEADERS) as session:
         async with session.post('/v1/completions', json=STREAM_BODY) as answer:
@@ -127,12 +127,12 @@
     assert any('"cut": 0' in line for line in daemon.lines)
 
 
-async def test_second_signal_ends_drain(
+async def test_second_signal_ends_the_drain(
     deployment: Deployment,
     daemon: DaemonProcess,
 ) -> None:
     # A stream never ends, and the operator does not want to wait for the
-    # deadline. The exit code must say that something was cut.
+    # deadline. The exit code must show that a request was cut off.
     deployment.engines[0].faults.stall = True
     base = f'http://{daemon.address}'
     async with aiohttp.ClientSession(base, headers=HEADERS) as session:
@@ -153,9 +153,9 @@
     deployment.engines[0].faults.stall = False
 
 
-async def test_logs_hold_no_key_and_no_prompt(daemon: DaemonProcess) -> None:
-    # Logs are read by more people than may ask in a caller's name, and
-    # prompts hold what the caller's own users wrote.
+async def test_logs_contain_no_key_and_no_prompt(daemon: DaemonProcess) -> None:
+    # More people can read logs than may act for a caller, and prompts contain
+    # text of the caller's own users.
     await use_every_route(daemon)
     daemon.send_signal(signal.SIGTERM)
     await daemon.wait()
@@ -169,8 +169,8 @@
     deployment: Deployment,
     tmp_path: Path,
 ) -> None:
-    # A VM starts while the platform's store is down. Sent requests it could
-    # only refuse, so the balancer must not send it any.
+    # A VM starts while the platform's store is down. It could only refuse
+    # requests, so the load balancer must not send it any.
     deployment.platform.faults.down = True
     document = build_document(deployment.platform.address)
     process = DaemonProcess(tmp_path, document)
@@ -183,12 +183,12 @@
     await process.on_stop()
 
 
-def test_faulty_settings_are_told_at_once(
+def test_all_errors_of_settings_are_reported_at_once(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # An operator writes several things wrong at once and should not have to
-    # start the daemon once for each of them.
+    # An operator makes several mistakes at once, and should not have to start
+    # the daemon once for each of them.
     path = tmp_path / 'settings.toml'
     path.write_text(
         'vm = 7\n'
@@ -209,9 +209,11 @@
         assert f'settings.toml: {key}: ' in told
 
 
-async def test_reload_signal_ends_nothing(daemon: DaemonProcess) -> None:
-    # The platform tells daemons that their settings file has changed. By
-    # default that signal ends a process at once, and cuts its callers.
+async def test_reload_signal_does_not_end_the_daemon(
+    daemon: DaemonProcess,
+) -> None:
+    # The platform sends SIGHUP when the settings file has changed. Its default
+    # action ends the process and cuts off its callers.
     daemon.send_signal(signal.SIGHUP)
     await asyncio.sleep(0.5)
     daemon.send_signal(signal.SIGTERM)
--- a/quetzalcourse/tests/docs_tests.py
+++ b/quetzalcourse/tests/docs_tests.py
@@ -1,4 +1,4 @@
-"""The pages: links, commands they name, and the generated reference."""
+"""Tests of the pages: links, commands, and generated content."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def name_page(page: Path) -> str:
-    """Name a page in the output of the tests."""
+    """Return the id of a page in test output."""
     return str(page.relative_to(ROOT))
 
 
 def list_commands() -> set[str]:
-    """List the subcommands, with their own subcommands."""
+    """List all subcommands, including nested ones."""
     commands = set()
     top: Any = build_parser()._subparsers
     for name, parser in top._group_actions[0].choices.items():
@@ -40,9 +40,8 @@
 
 
 @pytest.mark.parametrize('page', ALL_PAGES, ids=name_page)
-def test_links_lead_somewhere(page: Path) -> None:
-    # A page moves and another still points to where it was. A reader who
-    # follows the link finds nothing.
+def test_local_links_have_a_target(page: Path) -> None:
+    # A page moves, and links on other pages lead nowhere.
     links = LINK.findall(page.read_text())
     local = [link for link in links if '://' not in link]
     missing = [link for link in local if not (page.parent / link).exists()]
@@ -51,8 +50,8 @@
 
 @pytest.mark.parametrize('page', ALL_PAGES, ids=name_page)
 def test_commands_exist(page: Path) -> None:
-    # A command is renamed and a page still names the old one. A reader who
-    # copies it from there gets a usage error.
+    # A command is renamed but not on a page. Readers who copy it get a usage
+    # error.
     text = page.read_text()
     makefile = (ROOT / 'Makefile').read_text()
     targets = set(TARGET.findall(text))
@@ -67,9 +66,9 @@
 
 
 @pytest.mark.parametrize('page', ALL_PAGES, ids=name_page)
-def test_measures_exist(page: Path) -> None:
-    # A figure on a page names the measure that gave it. If the measure is
-    # gone, nobody can check the figure.
+def test_named_benches_exist(page: Path) -> None:
+    # A figure on a page names the bench that measured it. Without the bench
+    # nobody can verify the figure.
     named = set(BENCH.findall(page.read_text()))
     sources = [path for path in (ROOT / 'bench' / 'suites').glob('*.py')]
     known = {path.stem for path in sources}
@@ -79,7 +78,7 @@
 
 
 def test_every_page_is_in_the_index() -> None:
-    # A page that the index does not name is found by nobody.
+    # Readers do not find a page that is missing from the index.
     index = (DOCS / 'index.md').read_text()
     named = {(DOCS / link).resolve() for link in LINK.findall(index)}
     pages = {page for page in DOCS.rglob('*.md') if page.name != 'index.md'}
@@ -88,16 +87,16 @@
 
 @pytest.mark.parametrize('name', PAGES)
 def test_reference_is_current(name: str) -> None:
-    # A key is added to a model and the page is not written again. An
-    # operator then does not learn of it.
+    # A key is added to a model and the page is not regenerated. Operators
+    # would not learn of it.
     model, title = PAGES[name]
     page = DOCS / 'reference' / name
     assert page.read_text() == render_page(model, title)
 
 
 def test_named_proofs_exist() -> None:
-    # A test is renamed or taken away, and the page still calls its promise
-    # proved. Nobody would notice that it no longer is.
+    # A test is renamed or removed, and the page still names it as proof of a
+    # promise. Nobody would notice that the promise is no longer tested.
     page = (DOCS / 'developers' / 'promises.md').read_text()
     tests = {path.name: path for path in Path(__file__).parent.rglob('*.py')}
     named = PROOF.findall(page)
@@ -111,7 +110,7 @@
 
 
 def test_capacity_table_is_current() -> None:
-    # Figures are measured anew and the page keeps the old ones. Whoever
-    # plans with it plans for another system.
+    # Figures are measured again but not updated on the page, and capacity
+    # would be planned with outdated ones.
     page = (DOCS / 'CAPACITY.md').read_text()
     assert render_table(load_figures()) in page
--- a/quetzalcourse/tests/library_log_tests.py
+++ b/quetzalcourse/tests/library_log_tests.py
@@ -1,4 +1,4 @@
-"""Reports of libraries as lines like all others."""
+"""Tests of the handler for log records of libraries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def library() -> Iterator[logging.Logger]:
-    """Give a library's log whose reports are collected."""
+    """Provide a library's logger with the handler attached."""
     logger = logging.getLogger('some.library')
     handler = LibraryLogHandler()
     logger.addHandler(handler)
@@ -29,12 +29,12 @@
     structlog.reset_defaults()
 
 
-def test_trace_of_a_library_becomes_one_line(
+def test_library_traceback_becomes_one_line(
     library: logging.Logger,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # A request is cancelled while a daemon stops, and the HTTP server
-    # reports it with a trace. Its lines have no fields to search by.
+    # A request is cancelled while a daemon stops, and the HTTP server logs a
+    # traceback, whose lines have no fields to search by.
     configure_log('info', 'json', sys.stdout, None, 'vm-0')
     try:
         raise ConnectionResetError
@@ -50,11 +50,11 @@
     assert line['vm'] == 'vm-0'
 
 
-def test_report_without_an_error_is_a_line_too(
+def test_library_record_without_an_error_is_logged(
     library: logging.Logger,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Its level is kept."""
+    """The record keeps its level."""
     configure_log('info', 'json', sys.stdout)
     library.warning('Unclosed session')
     line = json.loads(capsys.readouterr().out)
--- a/quetzalcourse/tests/lifecycle_tests.py
+++ b/quetzalcourse/tests/lifecycle_tests.py
@@ -1,4 +1,4 @@
-"""Life-cycle hooks of a daemon's parts."""
+"""Tests of lifecycle hooks that hang."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 async def hang() -> None:
-    """Lose one cancellation, as a peer that never answers can cause."""
+    """Ignore one cancellation, as a call to a hanging peer may do."""
     with suppress(asyncio.CancelledError):
         await asyncio.sleep(3600)
     await asyncio.sleep(3600)
 
 
-async def test_part_that_hangs_does_not_keep_the_process() -> None:
-    # A part waits for a peer that never answers while its daemon stops. The
-    # process would stay until the platform kills it, and with it whatever
-    # the parts after it had still to close.
+async def test_hanging_component_does_not_block_the_stop() -> None:
+    # A task and a stop hook wait for a peer that never responds while the
+    # daemon stops. The process would hang until the platform kills it, before
+    # the remaining stop hooks could run.
     lifecycle = Lifecycle(SystemClock(), Counters())
     stopped = []
 
--- a/quetzalcourse/tests/log_output_tests.py
+++ b/quetzalcourse/tests/log_output_tests.py
@@ -1,4 +1,4 @@
-"""Log lines that are bounded and never waited for."""
+"""Tests of the rate limit and the non-blocking output of log lines."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def test_flood_of_one_event_hides_no_other() -> None:
-    # Thousands of requests are refused within a second. Without a bound the
-    # one line that says why would be hard to find, and writing them would
-    # take the time of the requests.
+    # Thousands of requests are refused within a second. Without a limit the
+    # one line with the cause would be hard to find, and writing the others
+    # would slow the requests down.
     now = 0.0
     limit = LogRateLimiter(10, lambda: now)
     passed = 0
@@ -36,9 +36,9 @@
 
 
 @pytest.mark.asyncio
-async def test_reader_that_stops_costs_lines_and_no_time() -> None:
-    # Whoever collects the logs stops reading. The daemon goes on at once;
-    # once the reader is back, whole lines go on and the rest was counted.
+async def test_stalled_reader_costs_lines_but_does_not_block() -> None:
+    # The log collector stops reading. The daemon must not block; after the
+    # reader continues, complete lines follow and dropped ones are counted.
     reader, writer = os.pipe()
     output = NonBlockingOutput(writer, buffer_bytes=20_000)
     began = time.monotonic()
--- a/quetzalcourse/tests/shared_engine_tests.py
+++ b/quetzalcourse/tests/shared_engine_tests.py
@@ -1,4 +1,4 @@
-"""Several daemons as processes share the slots of one engine."""
+"""Tests of several daemon processes that share the slots of one engine."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     number: int,
     seeds: list[str],
 ) -> dict[str, Any]:
-    """Write the settings of a daemon that knows others."""
+    """Build the settings of a daemon with seed peers."""
     return {
         'vm': f'vm-{number}',
         'data_centre': 'lac-hall',
@@ -45,7 +45,7 @@
     folder: Path,
     deployment: Deployment,
 ) -> list[DaemonProcess]:
-    """Start daemons that know one another."""
+    """Start daemons that are peers of one another."""
     daemons: list[DaemonProcess] = []
     for number in range(DAEMONS):
         seeds = [daemon.peers for daemon in daemons[:1]]
@@ -75,7 +75,7 @@
     daemon: DaemonProcess,
     seed: int,
 ) -> int:
-    """Ask for an answer, and tell the status."""
+    """Request a completion and return the status code."""
     body = {
         'model': MODEL,
         'prompt': 'a line on salt',
@@ -92,7 +92,7 @@
     session: aiohttp.ClientSession,
     daemons: list[DaemonProcess],
 ) -> set[int]:
-    """Ask every daemon at once for more than the engine can run."""
+    """Send every daemon more requests at once than the engine can run."""
     statuses = await asyncio.gather(
         *(
             ask(session, daemon, seed)
@@ -103,12 +103,12 @@
     return set(statuses)
 
 
-async def test_engine_is_not_overfilled(tmp_path: Path) -> None:
-    # Callers ask three daemons at once for more than the engine can run.
-    # Daemons that knew nothing of one another would each fill it, and
-    # whoever comes last would wait inside the engine behind everybody.
-    # Right after the daemons met, the owner grants little, as it can't know
-    # what was granted before; soon it must grant nearly everything.
+async def test_engine_slots_are_not_oversubscribed(tmp_path: Path) -> None:
+    # Callers send three daemons more requests than the engine can run.
+    # Without coordination each daemon would fill the engine, and requests
+    # would queue inside it. Right after the daemons have joined, the owner of
+    # the slots grants few of them, as it does not know earlier grants; soon it
+    # must grant nearly all.
     deployment = Deployment(engine_count=1, token_seconds=0.01)
     await deployment.on_start()
     record = deployment.engines[0].record
--- a/quetzalcourse/tests/soak_tests.py
+++ b/quetzalcourse/tests/soak_tests.py
@@ -1,4 +1,4 @@
-"""The fault soak: its checks find what is planted, and a short run keeps."""
+"""Tests of the fault soak: its checks on planted faults, and short runs."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def build_run(request_id: str) -> Run:
-    """Write down that a request ran."""
+    """Build the record of a request that ran."""
     return Run(request_id, 'u-1', 'desk', 0, 1, b'', 0, key_seen=False)
 
 
 def build_record(**changes: object) -> BatchRecord:
-    """Build a batch of two items that was read whole."""
+    """Build a batch of two items whose results were all read."""
     record = BatchRecord('b-1', ['i-1', 'i-2'], 1, accepted=True)
     for position, item in enumerate(record.items):
         record.pages[position] = {
@@ -63,12 +63,12 @@
         (Told('r', LOOKUP, 503, b'{"code":"quarantined"}'), 0, True),
     ],
 )
-def test_checks_of_requests_find_what_is_planted(
+def test_request_checks_find_planted_faults(
     told: Told,
     runs: int,
     broken: bool,
 ) -> None:
-    """A check that can't fail would let every fault pass."""
+    """Guards against checks that never fail."""
     faults = check_requests([told], [build_run('r')] * runs)
     assert bool(faults) is broken
 
@@ -83,16 +83,16 @@
         ({'id': 'i-1'}, True),
     ],
 )
-def test_checks_of_batches_find_what_is_planted(
+def test_batch_checks_find_planted_faults(
     changes: dict[str, object],
     broken: bool,
 ) -> None:
-    """Lost, doubled, broken and stale items are each told."""
+    """Lost, duplicate, corrupt and stale items are each reported."""
     assert bool(check_batches([build_record(**changes)], [])) is broken
 
 
 def test_checks_find_missing_and_changed_results() -> None:
-    """A position that was read must not change or vanish."""
+    """The result at a position must not change or vanish after a read."""
     record = build_record()
     record.note(0, {'total': 2, 'results': [record.pages[1]]})
     assert check_batches([record], [])
@@ -101,15 +101,15 @@
     assert check_batches([short], [])
 
 
-def test_check_of_a_refused_batch_finds_its_run() -> None:
-    """A refusal promises that nothing of it runs."""
+def test_batch_check_finds_a_run_of_a_refused_batch() -> None:
+    """A refusal guarantees that no item of the batch runs."""
     record = BatchRecord('b-1', ['i-1'], 1)
     assert check_batches([record], [build_run('i-1')])
     assert not check_batches([record], [])
 
 
-async def test_checks_of_orders_and_usage_find_what_is_planted() -> None:
-    """Two holders and two figures are told."""
+async def test_order_and_usage_checks_find_planted_faults() -> None:
+    """Two lease holders and two reports of a window are reported."""
     server = UpstreamStandin('u', 's', StoreStandin())
     server.state.fences = [('vm-0', 2), ('vm-1', 1)]
     assert check_orders([server])
@@ -124,18 +124,18 @@
 
 
 @pytest.mark.parametrize(('late', 'broken'), [(0.5, False), (-0.5, True)])
-def test_check_of_usage_finds_a_window_that_was_not_over(
+def test_usage_check_finds_a_window_reported_before_its_end(
     late: float,
     broken: bool,
 ) -> None:
-    """A calendar that is ahead closes windows too early."""
+    """A wall clock that is ahead closes windows too early."""
     arrived = 8 * documents.WINDOW_SECONDS + late
     report = UsageCall('a', 1, 7, {}, arrived)
     assert bool(check_usage([report])) is broken
 
 
-def test_check_of_cold_starts_finds_a_crash() -> None:
-    """Guards against a soak that overlooks overloaded cold servers."""
+def test_cold_start_check_finds_a_crash() -> None:
+    """Guards against a soak that misses overloaded cold servers."""
     server = UpstreamStandin('u', 's', StoreStandin())
     assert not check_cold_starts([server])
     server.cold.crashed = True
@@ -146,20 +146,20 @@
     ('ends', 'later', 'broken'),
     [(3, 3, False), (0, 3, False), (5, 5, False), (3, 4, True), (13, 13, True)],
 )
-def test_check_of_poison_finds_what_is_planted(
+def test_poison_check_finds_planted_crashes(
     ends: int,
     later: int,
     broken: bool,
 ) -> None:
-    """Guards against a soak that overlooks servers which end."""
+    """Guards against a soak that misses crashes of servers."""
     faults = check_poison({LOOKUP: ends}, {LOOKUP: later}, 4)
     assert bool(faults) is broken
 
 
 @pytest.mark.parametrize('options', [(), ('--places',), ('--poison',)])
-async def test_short_soak_keeps_every_promise(options: tuple[str, ...]) -> None:
-    # Daemons are killed, stopped and paused, and links, store and servers
-    # fail in an overlapping series. Callers notice no more than a retry.
+async def test_short_soak_finds_no_fault(options: tuple[str, ...]) -> None:
+    # Daemons are killed, stopped and paused, and links, store and servers fail
+    # at overlapping times. Callers must see no more than a retry.
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
--- a/quetzalcourse/tests/start_cost_tests.py
+++ b/quetzalcourse/tests/start_cost_tests.py
@@ -1,4 +1,4 @@
-"""What a daemon on a platform loads when it starts."""
+"""Tests of what a daemon on a platform loads when it starts."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 ROOT = Path(__file__).parents[2]
 OWN = 'quetzalcourse'
-# Folder of packages that an interpreter finds by itself.
+# Packages that the interpreter finds without PYTHONPATH.
 OUTSIDE = 'site-packages'
-# What the run does up to the point at which it would serve.
+# Performs the imports of a start up to the point of serving.
 PROGRAM = """
 import json, ssl, sys
 from quetzalcourse import daemon
@@ -34,13 +34,13 @@
 
 
 def list_requirements() -> list[str]:
-    """List the packages that a daemon is installed with."""
+    """List the required packages of a daemon."""
     text = (ROOT / 'requirements.txt').read_text()
     return re.findall('^([A-Za-z0-9_.-]+)==', text, re.MULTILINE)
 
 
 def list_files(package: str) -> set[Path]:
-    """List the files and folders of a package, as they stand at its root."""
+    """List the top-level files and folders of a package."""
     found = distribution(package)
     return {
         Path(str(found.locate_file(file.parts[0])))
@@ -50,7 +50,7 @@
 
 
 def read_options() -> list[str]:
-    """Read the interpreter's options from the deploy file."""
+    """Read the interpreter options from the deploy file."""
     deploy = tomllib.loads((ROOT / 'deploy' / 'system.toml').read_text())
     words = deploy['roles']['quetzalcoursed']['run'].split()
     return words[1 : words.index('-m')]
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def installed(tmp_path: Path) -> Path:
-    """Lay out the packages of a daemon as its build does."""
+    """Lay the packages of a daemon out as its build does."""
     for package in list_requirements():
         for file in list_files(package):
             (tmp_path / file.name).symlink_to(file)
@@ -67,9 +67,9 @@
 
 
 def test_start_loads_only_what_is_installed_for_it(installed: Path) -> None:
-    # Development tools, or other programs' packages, are on the VM. Libraries
-    # load what they find of them, as the log library does with colours for
-    # consoles. A killed daemon is back later, and each one is larger.
+    # Development tools, or packages of other programs, are on the VM, and
+    # libraries import optional ones if present, as the log library does for
+    # console colours. Restarts take longer, and daemons use more memory.
     started = subprocess.run(  # noqa: S603
         [sys.executable, *read_options(), '-c', PROGRAM],
         env={'PATH': os.defpath, 'PYTHONPATH': str(installed)},
@@ -82,6 +82,6 @@
         name for name, file in loaded['files'].items() if OUTSIDE in file
     }
     assert not found_outside
-    # Models of the daemon's own settings serve no platform.
+    # Models of the TOML settings are not needed on a platform.
     assert 'pydantic' not in loaded['files']
     assert loaded['authorities'] == 0
--- a/quetzalcourse/tests/start_signal_tests.py
+++ b/quetzalcourse/tests/start_signal_tests.py
@@ -1,4 +1,4 @@
-"""Signals while a daemon starts."""
+"""Tests of signals while a daemon starts."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @pytest.fixture
 def hangup_ends_the_process() -> Iterator[None]:
-    """Set the signal's effect to what a new process has."""
+    """Set SIGHUP to the default action of a new process."""
     before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
     yield
     signal.signal(signal.SIGHUP, before)
 
 
 @pytest.mark.usefixtures('hangup_ends_the_process')
-def test_changed_settings_do_not_end_a_daemon_that_starts(
+def test_reload_signal_during_the_start_is_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The platform tells of changed settings while a daemon starts again. Its
-    # process would end once more, and its batches wait for another second.
+    # The platform sends SIGHUP for changed settings while a daemon restarts.
+    # The process would end again, and its batches wait another second.
     seen: list[object] = []
 
     def start(_: object) -> int:
--- a/quetzalcourse/tests/step_process_tests.py
+++ b/quetzalcourse/tests/step_process_tests.py
@@ -1,4 +1,4 @@
-"""A step outlives the process that runs it."""
+"""Tests of steps that outlive the process that runs them."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 async def expect_half_done(trainer: TrainerClient) -> None:
-    """Make sure that the process is in the midst of the step."""
+    """Check that the process has committed part of the step."""
     progress = await trainer.observe(TRAINER, BODY.step)
     assert progress.delivery.whole_at is None
     assert progress.run is not None
@@ -61,9 +61,9 @@
     tmp_path: Path,
     number: signal.Signals,
 ) -> None:
-    # The process that runs a step is killed, or stands still for longer
-    # than its lease, while the trainer reads. A trainer would miss what it
-    # had begun, or get it from both.
+    # The process that runs a step is killed, or paused for longer than its
+    # lease, while the trainer reads. The trainer could miss samples that it
+    # had started, or get samples from two runs.
     deployment = Deployment(token_seconds=0.02)
     await deployment.on_start()
     process = DaemonProcess(
@@ -100,9 +100,9 @@
     assert later.delivery == finished.delivery
 
 
-async def test_outage_of_the_store_holds_the_step() -> None:
-    # The platform's store is down while a step runs. What was generated
-    # must be kept and delivered once when the store is back.
+async def test_step_completes_after_an_outage_of_the_store() -> None:
+    # The platform's store is down while a step runs. Generated samples must
+    # be kept and delivered once after the outage.
     deployment = Deployment(engine_count=1, token_seconds=0.02)
     await deployment.on_start()
     places: list[tuple[int, int]] = []
--- a/quetzalcourse/tests/stop_tests.py
+++ b/quetzalcourse/tests/stop_tests.py
@@ -1,4 +1,4 @@
-"""Graceful stops: signals during the start, hooks, and rolling restarts."""
+"""Tests of graceful stops: signals, hooks and rolling restarts."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 SECRET = 'a shared secret of the test'
 
 
-async def test_signal_during_the_start_ends_it() -> None:
-    # A VM is taken away while its daemon still waits for a slow platform.
-    # It has served nobody, so it ends at once and with success.
+async def test_signal_during_the_start_exits_with_success() -> None:
+    # A VM is stopped while its daemon still waits for a slow platform. The
+    # daemon has served no requests, so it exits at once with success.
     platform = PlatformStandin()
     platform.faults.slow_seconds = 60.0
     await platform.start()
@@ -56,8 +56,8 @@
 
 
 async def test_hooks_run_in_order_and_survive_faults() -> None:
-    # One part fails to hand over. The others still must, and everything is
-    # closed in the reverse order of its opening.
+    # One drain hook fails. The others must still run, and stop hooks run in
+    # reverse order of registration.
     calls: list[str] = []
     counters = Counters()
     lifecycle = Lifecycle(FakeClock(), counters)
@@ -85,9 +85,9 @@
     assert counters.read('part_faults', part='stop') == 1
 
 
-async def test_failed_part_is_started_again() -> None:
-    # A background task meets a fault. Left alone it would be missing
-    # without a word, and the daemon would go on with old news.
+async def test_failed_background_task_is_restarted() -> None:
+    # A background task fails. Without a restart it would silently be missing,
+    # and the daemon would continue with stale data.
     clock = SystemClock()
     counters = Counters()
     lifecycle = Lifecycle(clock, counters)
@@ -107,9 +107,9 @@
     await lifecycle.stop()
 
 
-async def test_rolling_restart_cuts_nothing(tmp_path: Path) -> None:
-    # Operators replace every daemon, one after another, while callers read
-    # streams. Callers must see whole answers only, and every exit be clean.
+async def test_rolling_restart_cuts_off_no_request(tmp_path: Path) -> None:
+    # Operators replace daemons one after another while callers read streams.
+    # Callers must get complete responses, and every exit code must be 0.
     deployment = Deployment(engine_count=1, token_seconds=0.005)
     await deployment.on_start()
     first = build_daemon(tmp_path, deployment, 0, [])
@@ -147,7 +147,7 @@
     number: int,
     seeds: list[str],
 ) -> DaemonProcess:
-    """Prepare a daemon process that knows the platform and others."""
+    """Build a daemon process with a platform and seed peers."""
     return DaemonProcess(
         folder,
         {
@@ -165,14 +165,14 @@
 
 
 async def read_stream(session: aiohttp.ClientSession, address: str) -> bytes:
-    """Read one whole stream."""
+    """Read one stream to its end."""
     url = f'http://{address}/v1/completions'
     async with session.post(url, json=STREAM) as answer:
         return await answer.read()
 
 
 def strip_ids(content: bytes) -> bytes:
-    """Keep the text of a stream only, which is the same for all."""
+    """Extract the text of a stream, which is the same for all."""
     return b''.join(
         line.partition(b'"text":')[2].partition(b',')[0]
         for line in content.split(b'\n')
--- a/quetzalcourse/tests/usage_process_tests.py
+++ b/quetzalcourse/tests/usage_process_tests.py
@@ -1,4 +1,4 @@
-"""Daemon processes that are stopped and killed while they report usage."""
+"""Tests of daemons that are paused and killed while they report usage."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def build_document(platform: str, vm: str) -> dict[str, Any]:
-    """Write settings of a daemon with short windows and terms."""
+    """Build settings of a daemon with short windows and leases."""
     return {
         'vm': vm,
         'data_centre': 'lac-hall',
@@ -52,16 +52,16 @@
 
 
 async def wait_until(holds: Callable[[], bool]) -> None:
-    """Wait for something that the daemons do."""
+    """Wait until a condition holds."""
     async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
         while not holds():
             await asyncio.sleep(0.05)
 
 
-async def test_stopped_holder_sends_nothing_more(tmp_path: Path) -> None:
-    # The daemon that reports is stopped past its term, another one takes
-    # over, and the first is continued. Two senders would be at work, each
-    # believing that it holds the lease. At last the second one is killed.
+async def test_resumed_former_holder_sends_no_reports(tmp_path: Path) -> None:
+    # The reporting daemon is paused past the end of its lease, another one
+    # takes over, and the first is resumed. Both could send reports, each as
+    # the supposed holder. Finally the second one is killed.
     platform = PlatformStandin()
     engine = EngineStandin('engine-0', (MODEL,), slots=4)
     await platform.start()
@@ -116,7 +116,7 @@
 
 
 async def ask(daemon: DaemonProcess) -> None:
-    """Ask for tokens, so that there is something to report."""
+    """Request a completion, so that there is usage to report."""
     body = {'model': MODEL, 'prompt': 'third shelf', 'max_tokens': 20}
     base = f'http://{daemon.address}'
     async with aiohttp.ClientSession(base, headers=HEADERS) as session:
@@ -125,7 +125,7 @@
 
 
 async def explain_busy_window(platform: str, reports: list[Any]) -> None:
-    """Follow the reported tokens back to the daemon that counted them."""
+    """Check that reported tokens are traced to the daemon that counted."""
     busy = next(one for one in reports if json.loads(one.content)['entries'])
     async with aiohttp.ClientSession() as session:
         table = PlatformClient(session, platform, 2)
