--- a/quetzalcourse/coordination/requests/request_progress.py
+++ b/quetzalcourse/coordination/requests/request_progress.py
@@ -126,7 +126,7 @@
         """
         return self._refuse(
             RefusalCode.deadline_exceeded,
-            'Too little time was left before the deadline.',
+            'Too little time was left for the answer.',
             'generate',
             max(needed, MIN_RETRY_AFTER),
         )
--- a/quetzalcourse/coordination/slots/account_limits.py
+++ b/quetzalcourse/coordination/slots/account_limits.py
@@ -67,8 +67,7 @@
         ):
             return _refuse(
                 RefusalCode.rate_limited,
-                f'The account is limited to {account.concurrent} concurrent '
-                'requests.',
+                f'The account may have {account.concurrent} requests at once.',
                 timedelta(seconds=1),
             )
         if request.resumed:
@@ -138,8 +137,8 @@
             return None
         return _refuse(
             RefusalCode.rate_limited,
-            f'The account is limited to {account.requests_per_second:g} '
-            'requests per second.',
+            f'The account may send {account.requests_per_second:g} '
+            'requests a second.',
             timedelta(seconds=(1 - bucket.tokens) / rate),
         )
 
