--- a/quetzalcourse/transport/request_proxy.py
+++ b/quetzalcourse/transport/request_proxy.py
@@ -6,7 +6,7 @@
 
 from quetzalcourse.exceptions import RefusedError
 from quetzalcourse.log import get_log
-from quetzalcourse.state.client import ResponseOutcome, AttemptMetadata
+from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.headers import HOP_BY_HOP, list_connection_headers
 from quetzalcourse.transport.response_stream import ResponseStream
 from quetzalcourse.transport.upstream_client import (
@@ -29,7 +29,7 @@
     from quetzalcourse.coordination.forwarding.pool import Pool
     from quetzalcourse.coordination.forwarding.upstream import Upstream
     from quetzalcourse.coordination.quarantine.quarantine import Quarantine
-    from quetzalcourse.state.client import RequestHead
+    from quetzalcourse.state.calls import RequestHead
     from quetzalcourse.transport.dialect import UpstreamDialect
     from quetzalcourse.transport.spooled_body import SpooledBody
     from quetzalcourse.transport.upstream_client import UpstreamClient
--- a/quetzalcourse/transport/scoring_client.py
+++ b/quetzalcourse/transport/scoring_client.py
@@ -9,7 +9,7 @@
     ScoringState,
 )
 from quetzalcourse.log import get_log
-from quetzalcourse.state.client import ResponseOutcome, AttemptMetadata
+from quetzalcourse.state.calls import ResponseOutcome, AttemptMetadata
 from quetzalcourse.transport.upstream_client import (
     CallFailedError,
     CallFailure,
