--- a/quetzalcourse/settings/rollout.py
+++ b/quetzalcourse/settings/rollout.py
@@ -38,8 +38,8 @@
     :param usage_report_delay: age of an ended window at which its report is
         due.
     :param batch_retention: age of a batch until which its results are read.
-    :param propagation_delay: time after which every daemon knows what one
-        of them was told.
+    :param propagation_delay: time after which a change at one daemon is
+        known to all of them.
     """
 
     stop_deadline: timedelta
--- a/quetzalcourse/tests/commands/key_tests.py
+++ b/quetzalcourse/tests/commands/key_tests.py
@@ -167,8 +167,8 @@
     )
     before = deployment.daemon.manifest.current
     assert await operator.run('apply', str(faulty), '--replaces', '1') == 1
-    told = capsys.readouterr().err
+    error_output = capsys.readouterr().err
     for key in ('readers.weight', 'catalogue.slots', 'catalogue.colour'):
-        assert key in told
+        assert key in error_output
     (await deployment.daemon.manifest.refresh()).unwrap()
     assert deployment.daemon.manifest.current == before
--- a/quetzalcourse/tests/commands/trace_tests.py
+++ b/quetzalcourse/tests/commands/trace_tests.py
@@ -45,11 +45,11 @@
     capsys: pytest.CaptureFixture,
 ) -> None:
     """The lines of both owners of the batch are in order."""
-    story = trace('72159ae3e6cd9dc7', EXTRACTS, capsys)
-    accepted = story.index('Batch is accepted.')
-    taken = story.index('Batch is taken over.')
-    assert accepted < taken
-    assert {'front-medina-hall-2', 'front-lac-hall-3'} <= set(story.split())
+    output = trace('72159ae3e6cd9dc7', EXTRACTS, capsys)
+    accepted = output.index('Batch is accepted.')
+    taken_over = output.index('Batch is taken over.')
+    assert accepted < taken_over
+    assert {'front-medina-hall-2', 'front-lac-hall-3'} <= set(output.split())
 
 
 def test_interleaved_and_truncated_lines_are_parsed(
--- a/quetzalcourse/tests/daemon_tests.py
+++ b/quetzalcourse/tests/daemon_tests.py
@@ -204,9 +204,9 @@
         'deadline_seconds = 3.0\n'
     )
     assert main(['--settings', str(path)]) == 1
-    told = capsys.readouterr().err
+    error_output = capsys.readouterr().err
     for key in ('vm', 'colour', 'listen.callers', 'listen.peers', 'drain'):
-        assert f'settings.toml: {key}: ' in told
+        assert f'settings.toml: {key}: ' in error_output
 
 
 async def test_reload_signal_does_not_end_the_daemon(
--- a/quetzalcourse/tests/stop_tests.py
+++ b/quetzalcourse/tests/stop_tests.py
@@ -44,9 +44,13 @@
     platform.faults.slow_seconds = 60.0
     await platform.start()
     signals: asyncio.Queue[signal.Signals] = asyncio.Queue()
-    patient = PlatformSettings(address=platform.address, timeout_seconds=60)
+    slow_platform = PlatformSettings(
+        address=platform.address, timeout_seconds=60
+    )
     settings = build_settings(platform.address)
-    application = Application(settings.model_copy(update={'platform': patient}))
+    application = Application(
+        settings.model_copy(update={'platform': slow_platform})
+    )
     running = asyncio.ensure_future(run_application(application, signals))
     await settle()
     signals.put_nowait(signal.SIGTERM)
