--- a/quetzalcourse/standins/__init__.py
+++ b/quetzalcourse/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for engines, plain services and the platform."""
+"""Stand-in servers for engines, plain services and the platform."""
--- a/quetzalcourse/standins/deployment.py
+++ b/quetzalcourse/standins/deployment.py
@@ -1,4 +1,4 @@
-"""A whole small deployment in one process, for the demo and for tests."""
+"""Daemon and stand-ins in one process, for the demo and for tests."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class Standin(Protocol):
-    """Server that stands in for a part of the world outside."""
+    """Server that stands in for an external system."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def stop(self) -> None:
         """Stop serving."""
@@ -48,8 +48,8 @@
 def build_settings(platform: str, **changes: Any) -> ProcessSettings:
     """Build settings for a daemon on loopback.
 
-    :param platform: address of the platform's stand-in.
-    :param changes: sections that differ.
+    :param platform: address of the platform stand-in.
+    :param changes: sections that replace the defaults.
     """
     document: dict[str, Any] = {
         'vm': 'vm-1',
@@ -65,7 +65,7 @@
     engines: list[EngineStandin],
     services: list[ServiceStandin],
 ) -> Manifest:
-    """Build a manifest for stand-ins that are up.
+    """Build a manifest for running stand-ins.
 
     :param engines: engines that serve :data:`MODEL`.
     :param services: upstreams of :data:`SERVICE`.
@@ -111,16 +111,17 @@
 
 
 def hash_key(key: str) -> str:
-    """Hash the secret part of a whole key."""
+    """Hash the secret part of a full key."""
     return hash_secret(key.partition('.')[2])
 
 
 class Deployment:
     """Platform, engines, a plain service and one daemon.
 
-    :param engine_count: how many engines to start.
+    :param engine_count: number of engines.
     :param callers: address that the daemon listens on for callers.
-    :param changes: sections of the daemon's settings that differ.
+    :param token_seconds: time that an engine takes for a token.
+    :param changes: sections that replace defaults of the daemon's settings.
     """
 
     def __init__(
@@ -130,7 +131,7 @@
         token_seconds: float = 0.0005,
         **changes: Any,
     ) -> None:
-        """Open every socket."""
+        """Open the listening sockets."""
         self.platform = PlatformStandin()
         self.engines = [
             EngineStandin(
@@ -151,7 +152,7 @@
 
     @property
     def url(self) -> str:
-        """Base of every URL that callers use."""
+        """Base URL for callers."""
         return f'http://{self.daemon.address}'
 
     async def on_start(self) -> None:
--- a/quetzalcourse/standins/engine.py
+++ b/quetzalcourse/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for an engine, over a real socket, with switches for faults."""
+"""Stand-in for an inference engine on a real socket, with fault injection."""
 
 from __future__ import annotations
 
@@ -38,20 +38,21 @@
 
 @dataclass(slots=True)
 class EngineFaults:
-    """Fault switches of the engine's stand-in.
+    """Faults to inject into the engine stand-in.
 
     :param refuse: refuse every request before running it.
-    :param break_after: cut a stream after so many tokens, once.
-    :param stall: send nothing more until switched off.
+    :param break_after: abort one stream after this many tokens.
+    :param stall: send no tokens while set.
     :param drop_versions: leave the weight version out of chunks.
-    :param crossed_request: name another request on the chunks, once.
+    :param crossed_request: send one chunk with another request's id.
     :param swap_fails: ignore orders to load a version.
     :param report_lag_seconds: age of the load report.
-    :param lose_cache_events: lose so many of the next cache events.
-    :param leaving: give notice in the load report.
-    :param gateway_status: answer as a gateway in front of the engine does.
-    :param strange_report: answer something else than a load report.
-    :param padding: make every token longer by so many characters.
+    :param lose_cache_events: drop this many of the next cache events.
+    :param leaving: announce in the load report that the engine leaves.
+    :param gateway_status: HTTP status of a gateway in front of the engine that
+        answers in its place; 0 for none.
+    :param strange_report: answer load queries with an unexpected body.
+    :param padding: number of characters appended to every token.
     """
 
     refuse: bool = False
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True)
 class EngineRecord:
-    """What an engine received, for tests to look at."""
+    """Requests and orders that an engine received, for assertions."""
 
     bodies: list[bytes] = field(default_factory=list)
     headers: list[dict[str, str]] = field(default_factory=list)
@@ -83,13 +84,14 @@
 
 
 class EngineStandin:
-    """Engine with a slot limit, an inner queue and a prefix cache.
+    """Engine with a slot limit, a queue of its own and a prefix cache.
 
     :param name: unique in the process.
     :param models: models that it serves.
-    :param slots: requests that it runs at once; more wait inside.
-    :param token_seconds: time that a token takes.
-    :param checks_fencing: whether orders with an old token are refused.
+    :param slots: requests that it runs at once; further ones are queued.
+    :param token_seconds: time per token.
+    :param checks_fencing: whether orders with an old fencing token are
+        refused.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
         checks_fencing: bool = True,
         address: str = '127.0.0.1:0',
     ) -> None:
-        """Open the socket, so that the address is known."""
+        """Open the listening socket, so that the address is known."""
         self.name = name
         self.faults = EngineFaults()
         self.record = EngineRecord()
@@ -130,7 +132,7 @@
         self._server = WebServer(app, listener)
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self._server.start()
 
     async def stop(self) -> None:
@@ -138,7 +140,7 @@
         await self._server.stop()
 
     def report_load(self) -> LoadReport:
-        """Tell the load at this moment."""
+        """Return the current load."""
         return LoadReport(
             self._slots,
             self._running,
@@ -336,14 +338,14 @@
 
 
 def encode_answer(message: object) -> HTTPResponse:
-    """Answer with a message as JSON."""
+    """Build a response with a message as JSON."""
     return answers.raw(
         msgspec.json.encode(message), content_type='application/json'
     )
 
 
 def refuse(reason: str, status: int = 503) -> HTTPResponse:
-    """Refuse a request before running it."""
+    """Build the response that refuses a request before it runs."""
     return answers.raw(
         msgspec.json.encode(EngineRefusal(reason)),
         status=status,
--- a/quetzalcourse/standins/order_store.py
+++ b/quetzalcourse/standins/order_store.py
@@ -1,4 +1,4 @@
-"""What the platform's stand-in keeps of orders and usage reports."""
+"""Orders and usage reports that the platform stand-in has accepted."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True)
 class OrderStore:
-    """Orders and reports that were accepted, each id once.
+    """Accepted orders and reports, each id once.
 
     :param order_token: highest fencing token seen with an order.
-    :param report_token: the same of reports.
+    :param report_token: highest fencing token seen with a report.
     """
 
     orders: dict[str, UpstreamOrder] = field(default_factory=dict)
@@ -64,7 +64,7 @@
         return OK if first.content == report.content else REFUSED
 
     def list_counts(self, faults: PlatformFaults) -> list[UpstreamCount]:
-        """List the upstreams that there are."""
+        """List the counts of upstreams by data centre and kind."""
         return [
             UpstreamCount(
                 data_centre, kind, count, data_centre in faults.reclaimed
--- a/quetzalcourse/standins/platform.py
+++ b/quetzalcourse/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform, over a real socket, with switches for faults."""
+"""Stand-in for the platform on a real socket, with fault injection."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class PlatformRecord:
-    """What the platform received, for tests to look at."""
+    """Calls that the platform received, for assertions."""
 
     reads: int = 0
     writes: int = 0
@@ -56,7 +56,7 @@
     """Transactional table in memory."""
 
     def __init__(self) -> None:
-        """Begin without rows."""
+        """Create an empty table."""
         self.rows: dict[str, RowMessage] = {}
         self._versions: dict[str, int] = {}
 
@@ -65,13 +65,13 @@
         return self.rows.get(key)
 
     def scan(self, prefix: str, after: str, limit: int) -> list[RowMessage]:
-        """Read rows in the order of their keys."""
+        """Read rows in key order."""
         keys = sorted(key for key in self.rows if key.startswith(prefix))
         start = bisect_right(keys, after)
         return [self.rows[key] for key in keys[start : start + limit]]
 
     def transact(self, message: TransactionMessage) -> CommitMessage:
-        """Write rows together if every condition holds."""
+        """Write rows atomically if every condition holds."""
         conflicts = [
             self.rows.get(
                 condition.key, RowMessage(condition.key, b'', version=0)
@@ -93,8 +93,8 @@
         if content is None:
             self.rows.pop(key, None)
             return
-        # A deleted row's versions are never used again: a writer that still
-        # holds one would otherwise pass a condition it must fail.
+        # Versions of a deleted row are never reused. Otherwise a writer that
+        # still holds one would pass a condition that it must fail.
         version = self._versions.get(key, 0) + 1
         self._versions[key] = version
         self.rows[key] = RowMessage(key, content, version)
@@ -104,7 +104,7 @@
     """Platform with its table, object store, orders, reports and scoring."""
 
     def __init__(self, address: str = '127.0.0.1:0') -> None:
-        """Open the socket, so that the address is known."""
+        """Open the listening socket, so that the address is known."""
         self.faults = PlatformFaults()
         self.record = PlatformRecord()
         self.table = TableStandin()
@@ -120,7 +120,7 @@
         self._server = WebServer(app, listener)
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self._server.start()
 
     async def stop(self) -> None:
--- a/quetzalcourse/standins/processes.py
+++ b/quetzalcourse/standins/processes.py
@@ -1,4 +1,4 @@
-"""Daemons as processes of their own, for tests and measurements."""
+"""Daemons in child processes, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class DaemonProcess:
-    """One daemon in a process that the test or the bench started.
+    """Daemon in a child process of a test or benchmark.
 
-    :param folder: where its settings file is written.
+    :param folder: directory to which its settings file is written.
     :param settings: content of the settings file.
     """
 
     def __init__(self, folder: Path, settings: dict[str, Any]) -> None:
-        """Keep the settings."""
+        """Store the settings; :meth:`on_start` starts the process."""
         self.address = ''
         self.peers = ''
         self.line_listeners: list[Callable[[str], None]] = []
@@ -63,9 +63,9 @@
         self._get_process().send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for the end of the process.
+        """Wait until the process has exited.
 
-        :returns: its exit code, negative for a signal that killed it.
+        :returns: exit code; negative signal number if a signal killed it.
         """
         code = await self._get_process().wait()
         if self._reader is not None:
@@ -73,7 +73,7 @@
         return code
 
     async def on_stop(self) -> None:
-        """End the process if it still runs."""
+        """Kill the process if it still runs."""
         process = self._process
         if process is not None and process.returncode is None:
             process.kill()
@@ -81,7 +81,7 @@
 
     def _get_process(self) -> asyncio.subprocess.Process:
         if self._process is None:
-            raise RuntimeError('the process was not started')
+            raise RuntimeError('the daemon process has not been started')
         return self._process
 
     async def _read_log(self) -> None:
--- a/quetzalcourse/standins/scripted_generation.py
+++ b/quetzalcourse/standins/scripted_generation.py
@@ -1,4 +1,4 @@
-"""Scripted generation on virtual time: lengths, versions and failures."""
+"""Scripted generation on virtual time, with weight versions and failures."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 class ScriptedEngine:
     """Engine that a script changes while it runs.
 
-    :param token_seconds: time that a token of one stream takes.
+    :param token_seconds: time per token of one stream.
     :param names_versions: whether chunks carry the weight version.
-    :param paused_until: loop time until which no token comes.
+    :param paused_until: loop time until which no token is generated.
     """
 
     name: str
@@ -37,17 +37,17 @@
 
     @property
     def free(self) -> bool:
-        """Whether it would take a stream now."""
+        """Whether it is up and has a free slot."""
         return self.up and self.running < self.slots
 
 
 class ScriptedGeneration:
-    """Runs requests on scripted engines, waiting for a slot in turn.
+    """Runs requests on scripted engines; requests wait for a free slot.
 
-    Each token's text names the version that made it, so that what a sample
-    claims of itself can be checked against its text.
+    The text of each token names the weight version that generated it, so that
+    the versions listed for a sample can be checked against its text.
 
-    :param plan_length: tokens of a request's whole answer.
+    :param plan_length: returns the number of tokens of a request's answer.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         plan_length: Callable[[GenerationRequest], int],
         chunk_tokens: int = CHUNK_TOKENS,
     ) -> None:
-        """Begin with idle engines."""
+        """Start with idle engines."""
         self.engines = engines
         self.generated_tokens = 0
         self.refuse_next = 0
@@ -65,7 +65,7 @@
         self._changed = asyncio.Condition()
 
     async def run(self, request: GenerationRequest) -> AsyncIterator[Chunk]:
-        """Yield the chunks of a request, going on elsewhere after a crash."""
+        """Yield the chunks of a request, resuming elsewhere after a crash."""
         offset = len(request.received)
         length = min(request.max_tokens, self._plan_length(request))
         while True:
@@ -152,6 +152,6 @@
         await self.wake()
 
     async def wake(self) -> None:
-        """Let those who wait look at the engines again."""
+        """Wake waiting requests to check the engines again."""
         async with self._changed:
             self._changed.notify_all()
--- a/quetzalcourse/standins/service.py
+++ b/quetzalcourse/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, over a real socket."""
+"""Stand-in for a plain service on a real socket, with fault injection."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @dataclass(slots=True)
 class ServiceFaults:
-    """Fault switches of the service's stand-in.
+    """Faults to inject into the service stand-in.
 
-    :param drop_before: cut so many connections before running the call.
-    :param drop_after: cut so many connections after running the call.
-    :param slow_seconds: wait before each answer.
+    :param drop_before: abort this many connections before running the call.
+    :param drop_after: abort this many connections after running the call.
+    :param slow_seconds: delay before each answer.
     :param status: status of every answer.
     """
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A call that the service ran."""
+    """Call that the service ran."""
 
     method: str
     path: str
@@ -52,19 +52,19 @@
 
 @dataclass(slots=True)
 class ServiceRecord:
-    """What a service ran, for tests to look at."""
+    """Calls that a service ran, for assertions."""
 
     calls: list[ServiceCall] = field(default_factory=list)
 
 
 class ServiceStandin:
-    """Service that answers each call with what it received.
+    """Service that answers with the body, or else the method and path.
 
     :param name: unique in the process.
     """
 
     def __init__(self, name: str, address: str = '127.0.0.1:0') -> None:
-        """Open the socket, so that the address is known."""
+        """Open the listening socket, so that the address is known."""
         self.faults = ServiceFaults()
         self.record = ServiceRecord()
         listener = open_listener(address)
@@ -75,7 +75,7 @@
         self._server = WebServer(app, listener)
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self._server.start()
 
     async def stop(self) -> None:
@@ -109,12 +109,12 @@
 
 
 async def echo(request: Request, path: str) -> None:
-    """Send each piece of a body back as soon as it arrives."""
+    """Send each chunk of a body back as soon as it arrives."""
     stream = await request.respond(content_type='text/plain')
     source: Any = request.stream
     while True:
-        piece = await source.read()
-        if piece is None:
+        chunk = await source.read()
+        if chunk is None:
             break
-        await stream.send(piece)
+        await stream.send(chunk)
     await stream.eof()
--- a/quetzalcourse/standins/virtual_time.py
+++ b/quetzalcourse/standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""Event loop whose time jumps to the next timer, for trials in seconds."""
+"""Event loop whose time jumps to the next timer, for fast simulations."""
 
 from __future__ import annotations
 
@@ -16,38 +16,40 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Selector that adds up the time it should have waited."""
+    """Selector that adds up its timeouts instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.skipped = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Let the time pass; no socket is watched."""
+        """Advance the virtual time; no socket is polled."""
         if timeout is None:
-            raise RuntimeError('Every task waits and no timer is set.')
+            raise RuntimeError(
+                'Deadlock: every task waits and no timer is set.'
+            )
         self.skipped += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Event loop that never waits, for code without sockets."""
+    """Event loop on virtual time, for code without sockets."""
 
     def __init__(self) -> None:
-        """Begin at time zero."""
+        """Start at time zero."""
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
-        """Tell the virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._jumping.skipped
 
 
 class VirtualClock:
     """Clock of a process on the virtual loop.
 
-    :param ahead: by how much it is ahead of other processes' clocks.
-    :param rate: how fast it runs against the loop's time.
+    :param ahead: offset to the clocks of other processes.
+    :param rate: speed relative to the loop's time.
     """
 
     def __init__(
@@ -55,21 +57,21 @@
         ahead: timedelta = timedelta(0),
         rate: float = 1.0,
     ) -> None:
-        """Keep the differences."""
+        """Store the offset and the rate."""
         self._ahead = ahead
         self._rate = rate
 
     def elapsed(self) -> timedelta:
-        """Tell the time since boot."""
+        """Return the time since boot."""
         seconds = asyncio.get_running_loop().time() * self._rate
         return BOOT + self._ahead + timedelta(seconds=seconds)
 
     def now(self) -> datetime:
-        """Tell the calendar time."""
+        """Return the calendar time in UTC."""
         return EPOCH + self.elapsed()
 
     async def sleep(self, duration: timedelta) -> None:
-        """Let the loop's time pass."""
+        """Sleep on virtual time."""
         await asyncio.sleep(max(0.0, duration.total_seconds()) / self._rate)
 
 
