--- a/quetzalcourse/standins/rollout/__init__.py
+++ b/quetzalcourse/standins/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the users' platform, over real sockets on loopback."""
+"""Stand-ins for the users' platform, on real loopback sockets."""
--- a/quetzalcourse/standins/rollout/cloud.py
+++ b/quetzalcourse/standins/rollout/cloud.py
@@ -1,4 +1,4 @@
-"""Stand-in for the interface that takes reports of usage."""
+"""Stand-in for the platform's usage report API."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageCall:
-    """A report that arrived.
+    """Usage report as received.
 
-    :param arrived: seconds since the epoch, by the true calendar.
+    :param arrived: time of arrival in seconds since the epoch, by the
+        real wall clock, whatever calendar a daemon was given.
     """
 
     holder: str
@@ -34,16 +35,16 @@
 
 
 class CloudStandin:
-    """Takes reports and keeps them."""
+    """Receives usage reports and stores them."""
 
     def __init__(self) -> None:
-        """Begin without reports."""
+        """Create the server without reports."""
         self.reports: list[UsageCall] = []
         self.down = False
         self.server = StandinServer('cloud', self.serve)
 
     async def serve(self, request: Request, head: RequestHead) -> None:
-        """Take one report."""
+        """Receive one report."""
         await request.receive_body()
         if self.down:
             await send_response(request, b'', status=UNAVAILABLE)
--- a/quetzalcourse/standins/rollout/cluster.py
+++ b/quetzalcourse/standins/rollout/cluster.py
@@ -1,4 +1,4 @@
-"""A small deployment on a platform, in one process."""
+"""Cluster of daemons with its platform and servers, in one process."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     headers: Mapping[str, str]
 
     def read(self) -> Any:
-        """Read the body as a document."""
+        """Decode the JSON body."""
         return json.loads(self.body)
 
 
 def build_scoring_call(name: str) -> dict[str, Any]:
-    """Write the scoring call of an item."""
+    """Build the scoring call of an item."""
     return {
         'id': f'score-of-{name}',
         'hostname': documents.HOST,
@@ -56,7 +56,7 @@
     *,
     scored: bool = False,
 ) -> dict[str, Any]:
-    """Write an item of a batch.
+    """Build an item of a batch.
 
     :param scored: whether its text is to be scored.
     """
@@ -77,7 +77,7 @@
     scored: bool = False,
     **changes: Any,
 ) -> dict[str, Any]:
-    """Write a batch of items."""
+    """Build a batch of items."""
     batch: dict[str, Any] = {
         'step': 0,
         'model': documents.MODEL,
@@ -89,10 +89,10 @@
 
 
 class Caller:
-    """Calls daemons as the platform's clients do, each on a new channel."""
+    """Calls daemons as the platform's clients do, on new connections."""
 
     def __init__(self, key: str = documents.KEY) -> None:
-        """Keep the key that goes with every call."""
+        """Store the API key that every call sends."""
         self.key = key
 
     async def call(
@@ -108,7 +108,7 @@
     ) -> Reply:
         """Send one request.
 
-        :raises aiohttp.ClientError: if the channel breaks.
+        :raises aiohttp.ClientError: if the connection breaks.
         """
         sent = {
             'Host': documents.HOST,
@@ -168,7 +168,7 @@
         batch_id: str,
         seconds: float = 20.0,
     ) -> list[dict[str, Any]]:
-        """Read a batch until all its results are there."""
+        """Read results until the batch is complete."""
         results: list[dict[str, Any]] = []
         async with asyncio.timeout(seconds):
             while True:
@@ -186,11 +186,11 @@
     """Store, servers and daemons, all on loopback.
 
     :param daemons: how many daemons.
-    :param together: whether they share a data centre; otherwise each stands
-        in one of its own.
+    :param together: whether the daemons share a data centre; otherwise each
+        has one of its own.
 
-    ``regions`` names the region of each data centre, for daemons that start
-    from then on.
+    ``regions`` maps data centres to regions, for daemons that start after it
+    is set.
     """
 
     def __init__(
@@ -254,12 +254,12 @@
         return daemon
 
     async def end_daemon(self, daemon: RolloutApplication) -> None:
-        """End a daemon at once, without a word to the others."""
+        """Stop a daemon at once, without notice to the others."""
         self._ended.append(daemon)
         await daemon.on_stop()
 
     async def await_ready(self, daemon: RolloutApplication) -> None:
-        """Wait until a daemon says that it is ready."""
+        """Wait until a daemon reports that it is ready."""
         address = daemon.settings.listen.readiness
         async with asyncio.timeout(READY_SECONDS):
             while True:
@@ -271,7 +271,7 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     def address(self, number: int = 0) -> str:
-        """Tell where a daemon serves callers."""
+        """Return the address at which a daemon serves callers."""
         return self.daemons[number].settings.listen.callers
 
     async def stop(self) -> None:
--- a/quetzalcourse/standins/rollout/documents.py
+++ b/quetzalcourse/standins/rollout/documents.py
@@ -1,4 +1,4 @@
-"""Documents that the platform and its operators write, as tests need them."""
+"""Sample documents of the platform and its operators, for tests."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 NON_RESUMABLE_PREFIX = '/bound/'
 SCORING_PREFIX = '/scoring/'
 KEY = 'key-of-the-desk'
-# Requests a second that a server bears for some seconds after its start.
+# Requests a second that a server can take during its cold start.
 COLD_SECONDS = 2.0
 COLD_RATE = 9
 OTHER_KEY = 'key-of-another'
 ACCOUNT = 'desk'
 OTHER_ACCOUNT = 'another'
-# Below the range of outgoing connections.
+# Below the range of ephemeral ports.
 PORT_RANGE = (15_000, 32_000)
-# Ports that were given to daemons, which may not listen there yet.
+# Ports assigned to daemons, which may not listen on them yet.
 ALLOCATED_PORTS: set[int] = set()
 
 
 def build_route(prefix: str, kind: str, **changes: Any) -> dict[str, Any]:
-    """Write a route."""
+    """Build a route."""
     route: dict[str, Any] = {
         'name': f'r-{prefix.strip("/")}',
         'hostname': HOST,
@@ -50,7 +50,7 @@
 
 
 def build_config(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Write a desired state with a route of each kind."""
+    """Build a configuration with a route of each kind."""
     config: dict[str, Any] = {
         'version': version,
         'routes': [
@@ -113,15 +113,15 @@
     return config | changes
 
 
-# Length of a window of usage in seconds.
+# Length of a usage window.
 WINDOW_SECONDS = 2
 
 
 def allocate_ports(count: int) -> list[int]:
-    """Find ports of loopback that are free and stay so.
+    """Allocate loopback ports that stay free until the daemon listens.
 
-    The system gives outgoing connections ports of its own range; a port of
-    that range may be taken between this search and the daemon's start.
+    The kernel gives outgoing connections ephemeral ports; a port of that range
+    could be taken between this check and the daemon's start.
     """
     found: list[int] = []
     while len(found) < count:
@@ -141,7 +141,7 @@
     zone: str = 'hall-a',
     regions: dict[str, str] | None = None,
 ) -> dict[str, Any]:
-    """Write the settings file of a daemon on free ports of loopback."""
+    """Build the settings of a daemon on free loopback ports."""
     front, ready, peers, metrics = allocate_ports(4)
     return {
         'node_name': name,
--- a/quetzalcourse/standins/rollout/server.py
+++ b/quetzalcourse/standins/rollout/server.py
@@ -19,10 +19,10 @@
 
 
 class StandinServer:
-    """Serves one stand-in on a port of loopback.
+    """Serves a stand-in on a loopback port.
 
-    :param name: for logs of the HTTP library.
-    :param handler: serves every request.
+    :param name: name in the logs of the HTTP library.
+    :param handler: handles every request.
     """
 
     def __init__(
@@ -37,17 +37,17 @@
         self._server = WebServer(build_gateway(name, handler), self._listener)
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self._server.start()
 
-    async def end(self) -> None:
-        """Close the port and cut all connections, as a process's end does."""
+    async def abort(self) -> None:
+        """Close the port and abort all connections, as a crash does."""
         await self._server.close_port()
         self._listener.close()
         self._server.abort()
 
     async def stop(self) -> None:
-        """Stop serving and close the port, with the connections to it."""
+        """Stop serving and close the port and its connections."""
         self._server.abort()
         await self._server.stop()
         self._listener.close()
--- a/quetzalcourse/standins/rollout/store.py
+++ b/quetzalcourse/standins/rollout/store.py
@@ -36,13 +36,15 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong at the store.
+    """Faults to inject into the store.
 
     :param mode: how every call fails: ``busy``, ``reset`` or ``silent``.
     :param lost_answers: share of transactions whose answer is lost.
-    :param late_seconds: seconds after which a lost one takes effect.
-    :param delay_seconds: seconds that every call takes longer.
-    :param answer_delay_seconds: seconds between a write and its answer.
+    :param late_seconds: delay in seconds until a transaction is applied
+        whose answer is lost.
+    :param delay_seconds: latency in seconds added to every call.
+    :param answer_delay_seconds: seconds between a write and its
+        answer.
     """
 
     mode: str = ''
@@ -54,7 +56,7 @@
 
 @dataclass(slots=True)
 class StoredRow:
-    """A row; ``value`` is what came on the wire."""
+    """Row; ``value`` is the base64 text as received."""
 
     table: str
     part: str
@@ -64,7 +66,7 @@
     tombstone: bool = False
 
     def to_wire(self) -> dict[str, Any]:
-        """Write the row as the wire has it."""
+        """Return the row as it goes over the wire."""
         message: dict[str, Any] = {
             'table': self.table,
             'part': self.part,
@@ -80,7 +82,7 @@
 
 @dataclass(slots=True)
 class StoreContent:
-    """All rows, and the changes that brought them about."""
+    """All rows and the log of their changes."""
 
     rows: dict[RowName, StoredRow] = field(default_factory=dict)
     log: list[StoredRow] = field(default_factory=list)
@@ -89,32 +91,33 @@
 
 
 class StoreEndpoint:
-    """An address of the store, with faults of its own.
+    """Address of the store with faults of its own.
 
-    Daemons that are given a door each can be turned away one by one.
+    With an endpoint for each daemon, the store can be made unavailable to a
+    single daemon.
     """
 
     def __init__(self, store: StoreStandin) -> None:
-        """Begin without faults."""
+        """Create the endpoint without faults."""
         self.faults = StoreFaults()
         self._store = store
         self.server = StandinServer('store-door', self.serve)
 
     async def serve(self, request: Request, head: RequestHead) -> None:
-        """Pass a call on, or fail it."""
+        """Forward a call to the store, or fail it."""
         if await apply_fault(self.faults, request):
             return
         await self._store.serve(request, head)
 
 
 class StoreStandin:
-    """Serves the store's calls about rows.
+    """Serves the row API of the store.
 
-    :param seed: of the lost answers.
+    :param seed: seed for the choice of lost answers.
     """
 
     def __init__(self, seed: int = 0) -> None:
-        """Begin with an empty store."""
+        """Create an empty store."""
         self.faults = StoreFaults()
         self.content = StoreContent()
         self.calls = 0
@@ -126,7 +129,8 @@
     async def write(self, table: str, key: str, document: Any) -> int:
         """Write a row as the operator, a trainer or a server does.
 
-        :param document: content, or bytes that are no document.
+        :param document: content; bytes are written as they are, which allows
+            malformed rows.
         :returns: the row's version.
         """
         content = document
@@ -136,11 +140,11 @@
         return await self._apply([(table, '', key, value)], [])
 
     async def remove(self, table: str, key: str) -> None:
-        """Remove a row as the store does when a server falls silent."""
+        """Remove a row as the store does when heartbeats stop."""
         await self._apply([], [(table, '', key)])
 
     def forget_history(self) -> None:
-        """Drop all changes, so that followers have to read again."""
+        """Clear the change log, so that followers have to read again."""
         self.content.log.clear()
         self.content.oldest = self.content.version
 
@@ -298,9 +302,9 @@
 
 
 async def apply_fault(faults: StoreFaults, request: Request) -> bool:
-    """Fail a call if the store is to fail now.
+    """Apply the injected faults to a call.
 
-    :returns: whether the call has ended.
+    :returns: whether this has ended the call.
     """
     await asyncio.sleep(faults.delay_seconds)
     if faults.mode == 'busy':
@@ -319,7 +323,7 @@
 
 
 def _is_valid(body: dict[str, Any]) -> bool:
-    """Tell whether the store takes a transaction."""
+    """Return whether the store accepts a transaction."""
     entries = [*body['expected'], *body['writes'], *body['remove']]
     parts = {entry['part'] for entry in entries}
     tables = {entry['table'] for entry in entries}
--- a/quetzalcourse/standins/rollout/upstream.py
+++ b/quetzalcourse/standins/rollout/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in for a server of the users' services, plain or a model engine."""
+"""Stand-in for a server of a user service, plain or a model engine."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """A request that the server began to work on."""
+    """Request that the server started to run."""
 
     request_id: str
     server: str
@@ -59,20 +59,25 @@
 
 @dataclass(slots=True)
 class UpstreamFaults:
-    """What goes wrong at a server.
+    """Faults to inject into a server.
 
     :param slowdown: factor on the time of all work.
-    :param lost_answers: requests that run and whose answer is cut.
-    :param failed_answers: requests that are answered 500.
-    :param cut_after: event after which the next streams are cut.
-    :param stream_cuts: how many streams are cut so.
-    :param duplicated_answers: answers that are followed by a second one.
-    :param expired_answers: requests that are answered 504, as expired.
-    :param truncated_answers: answers of plain requests whose body breaks off.
-    :param misnamed_answers: answers of plain requests that name another one.
-    :param unresponsive: whether it answers nothing at all.
-    :param poison: bytes in a body that end the server which runs it.
-    :param poison_events: events of a run that come before its end.
+    :param lost_answers: number of requests that run and whose
+        connection is then aborted.
+    :param failed_answers: number of requests that are answered 500.
+    :param cut_after: event after which the next streams are aborted.
+    :param stream_cuts: number of streams that are aborted so.
+    :param duplicated_answers: number of answers that are followed by a
+        second one.
+    :param expired_answers: number of requests that are answered 504, as
+        expired.
+    :param truncated_answers: number of answers to plain requests whose body
+        ends early.
+    :param misnamed_answers: number of answers to plain requests with the id
+        of another request.
+    :param unresponsive: whether requests stay unanswered while it is set.
+    :param poison: bytes that crash the server that runs a body with them.
+    :param poison_events: events that a stream sends before the crash.
     """
 
     slowdown: float = 1
@@ -91,12 +96,12 @@
 
 @dataclass(slots=True)
 class ColdStartState:
-    """Requests to a server that has just started.
+    """Request rate of a server during its cold start.
 
     :param max_requests: requests in any second at which it crashes.
-    :param warm_at: when it is warm, by the steady clock.
-    :param arrivals: when requests came in, oldest first.
-    :param crashed: whether it has had too many.
+    :param warm_at: when it is warm, by the monotonic clock.
+    :param arrivals: monotonic times of its requests, oldest first.
+    :param crashed: whether the limit was exceeded.
     """
 
     max_requests: int = 0
@@ -105,11 +110,11 @@
     crashed: bool = False
 
     def count_remaining(self) -> float:
-        """Count the seconds until it is warm."""
+        """Return the seconds until it is warm."""
         return max(self.warm_at - time.monotonic(), 0)
 
     def admit(self) -> bool:
-        """Count a request, and tell whether the server bears it."""
+        """Count a request and return whether the server can take it."""
         now = time.monotonic()
         self.arrivals.append(now)
         recent = sum(now - one < WINDOW_SECONDS for one in self.arrivals)
@@ -129,17 +134,17 @@
 
 
 def count_events(request_id: str) -> int:
-    """Tell how many events a request's answer has."""
+    """Return the number of events of a request's answer."""
     return 1 + xxhash.xxh32_intdigest(request_id.encode()) % MAX_EVENTS
 
 
 def write_event(request_id: str, number: int) -> str:
-    """Write the data of one event of an answer."""
+    """Build the data of one event of an answer."""
     return f'{request_id}.{number}'
 
 
 def write_text(request_id: str) -> str:
-    """Write the whole text of a request's answer."""
+    """Build the full text of a request's answer."""
     return '\n'.join(
         write_event(request_id, number)
         for number in range(1, count_events(request_id) + 1)
@@ -147,15 +152,16 @@
 
 
 async def _do_nothing() -> None:
-    """Stand for a hook that nobody set."""
+    """Serve as the default of the hooks."""
 
 
 class UpstreamStandin:
     """One server of a service.
 
-    :param models: models that it holds; none for a plain service.
+    :param models: models that it serves; empty for a plain service.
 
-    ``on_crash`` and ``on_return`` are called when a crash begins and ends.
+    ``on_crash`` is called when a crash begins, ``on_restart`` once the server
+    listens again.
     """
 
     def __init__(
@@ -168,7 +174,7 @@
         models: tuple[str, ...] = (),
         slots: int = 8,
     ) -> None:
-        """Begin at version 1 of every model."""
+        """Start at version 1 of every model."""
         self.name = name
         self.service = service
         self.slots = slots
@@ -192,13 +198,13 @@
         self._restart: asyncio.Future[None] | None = None
 
     async def start(self) -> None:
-        """Begin to serve and register."""
+        """Start serving and register."""
         await self.server.start()
         await self.register()
         self._start_task(self._send_heartbeats())
 
     async def stop(self) -> None:
-        """End at once, as a crash does; the entry lapses later."""
+        """Stop at once, as a crash does; the registration expires later."""
         if self._restart is not None:
             self._restart.cancel()
         for task in tuple(self._tasks):
@@ -206,9 +212,9 @@
         await self.server.stop()
 
     async def crash(self) -> None:
-        """End as a process does, and begin anew at the same address."""
+        """Crash, and restart at the same address."""
         await self.on_crash()
-        await self.server.end()
+        await self.server.abort()
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.sleep(RESTART_SECONDS)
@@ -220,12 +226,12 @@
         self._start_task(self._send_heartbeats())
 
     async def stop_heartbeats(self) -> None:
-        """Serve on without registering again."""
+        """Keep serving without renewing the registration."""
         for task in tuple(self._tasks):
             task.cancel()
 
     async def register(self) -> None:
-        """Write the entry."""
+        """Write the registration to the store."""
         entry: dict[str, Any] = {
             'service': self.service,
             'address': self.advertised_address,
@@ -244,10 +250,11 @@
     async def register_cold_start(
         self, seconds: float, max_requests: int
     ) -> None:
-        """Register as another run, which is cold.
+        """Register as a new incarnation in its cold start.
 
-        :param seconds: how long it is cold.
-        :param max_requests: requests in any second that it bears meanwhile.
+        :param seconds: length of the cold start.
+        :param max_requests: requests in any second that it can take
+            meanwhile.
         """
         self._incarnation += 1
         self.cold = ColdStartState(max_requests, time.monotonic() + seconds)
@@ -392,7 +399,8 @@
                 text = write_event(head.find('x-request-id'), number)
                 await answer.send(f'id: {number}\ndata: {text}\n\n')
         await asyncio.sleep(CRASH_SECONDS)
-        # The crash ends the connection of this request, and with it the task.
+        # The crash aborts this request's connection and with it this task, so
+        # the restart needs a task of its own.
         self._restart = asyncio.ensure_future(self.crash())
         await asyncio.shield(self._restart)
 
