--- a/quetzalcourse/tests/rollout/__init__.py
+++ b/quetzalcourse/tests/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of a daemon on a platform, whole and part by part."""
+"""Tests of daemons on a platform."""
--- a/quetzalcourse/tests/rollout/batch_coordinators_tests.py
+++ b/quetzalcourse/tests/rollout/batch_coordinators_tests.py
@@ -1,4 +1,4 @@
-"""Batches that are run by the coordinator of their model."""
+"""Batches run by the coordinator of their model."""
 
 from __future__ import annotations
 
@@ -43,11 +43,12 @@
     ]
 
 
-async def test_steps_are_run_by_one_daemon_wherever_they_come_in(
+async def test_steps_are_run_by_one_daemon_wherever_submitted(
     shared_data_centre: RolloutCluster,
 ) -> None:
-    # A trainer submits its steps by one daemon after another. Run by each of
-    # these in turn, every step would open its connections anew.
+    # Guards against steps that are run by the daemon which received them: a
+    # trainer submits to one daemon after another, and every step would open
+    # new connections to the engines.
     await await_membership(shared_data_centre)
     for engine in shared_data_centre.engines:
         engine.faults.slowdown = 10
@@ -73,13 +74,13 @@
 
 
 @pytest.mark.parametrize('end', ['dead', 'cut off from the store', 'full'])
-async def test_batch_is_run_where_it_came_in_without_a_home(
+async def test_batch_runs_where_submitted_without_its_coordinator(
     shared_data_centre: RolloutCluster,
     end: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The coordinator of a model has just died, can't write, or has enough to
-    # do, and the others don't know yet. A submission must not wait for it.
+    # Guards against a submission that waits for a coordinator which has just
+    # died, can't write or is at its limit while the others don't know yet.
     await await_membership(shared_data_centre)
     for engine in shared_data_centre.engines:
         engine.faults.slowdown = 10
@@ -107,11 +108,12 @@
     assert {result['state'] for result in results} == {'completed'}
 
 
-async def test_open_steps_of_a_late_trainer_share_their_home(
+async def test_open_steps_of_a_late_trainer_share_a_coordinator(
     shared_data_centre: RolloutCluster,
 ) -> None:
-    # A trainer that is late keeps two large steps open. Run by two daemons,
-    # neither knows that the older one is due first, and both come late.
+    # Guards against two open steps of a late trainer that are run by two
+    # daemons: neither knows that the older step is due first, and both end
+    # late.
     await await_membership(shared_data_centre)
     for engine in shared_data_centre.engines:
         engine.faults.slowdown = 40
@@ -126,12 +128,12 @@
     assert set(coordinator.batches.runner.batches) == {'b-0', 'b-1'}
 
 
-async def test_submission_that_its_home_may_hold_is_not_refused(
+async def test_submission_is_not_refused_if_coordinator_may_hold_it(
     shared_data_centre: RolloutCluster,
 ) -> None:
-    # The coordinator writes a batch and its answer is held up; then the store
-    # turns everybody away. The batch stands, so a refusal would not be true:
-    # the caller's channel is cut, and it asks again.
+    # Guards against a false refusal of a batch that the coordinator has
+    # written, when the store delays its answer and then refuses all calls.
+    # The caller's connection is aborted instead, and the caller retries.
     await await_membership(shared_data_centre)
     number = shared_data_centre.daemons.index(
         find_coordinator(shared_data_centre)
@@ -161,13 +163,12 @@
     assert sorted(result['id'] for result in results) == sorted(ITEMS)
 
 
-async def test_home_with_an_older_manifest_gives_up_no_item(
+async def test_coordinator_with_older_manifest_abandons_no_item(
     shared_data_centre: RolloutCluster,
 ) -> None:
-    # A route is added, and a batch comes in by it at a daemon that knows it
-    # while the coordinator does not yet. To the coordinator the route looks
-    # dropped, and it would abandon every item of a batch that has just been
-    # accepted.
+    # Guards against abandoned items when a batch arrives on a new route that
+    # its daemon knows and the coordinator does not yet: the route looks
+    # dropped to the coordinator.
     await await_membership(shared_data_centre)
     coordinator = find_coordinator(shared_data_centre)
     number = shared_data_centre.daemons.index(coordinator)
@@ -206,12 +207,12 @@
     assert sorted(result['id'] for result in results) == sorted(ITEMS)
 
 
-async def test_submission_is_refused_truly_while_the_store_is_down(
+async def test_submission_is_refused_while_the_store_is_down(
     shared_data_centre: RolloutCluster,
 ) -> None:
-    # The store is down for all. A coordinator that tried in vain could not tell
-    # whether the batch stands, and the caller would be cut off instead of
-    # being told when to come back.
+    # Guards against aborted connections while the store is down for all: a
+    # coordinator whose write failed could not tell whether the batch was
+    # written, and the caller would not be told when to retry.
     await await_membership(shared_data_centre)
     shared_data_centre.store.faults.mode = 'busy'
     await asyncio.sleep(1.5)
--- a/quetzalcourse/tests/rollout/batches_tests.py
+++ b/quetzalcourse/tests/rollout/batches_tests.py
@@ -1,4 +1,4 @@
-"""Batches: accepted once, run by one daemon after another, read anywhere."""
+"""Batches: accepted once, run by one daemon at a time, read at any."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def check_results(results: list[dict[str, Any]]) -> None:
-    """Check that every item has its whole text, once."""
+    """Check that every item has its full text exactly once."""
     assert sorted(result['id'] for result in results) == sorted(ITEMS)
     for result in results:
         assert result['state'] == 'completed'
@@ -34,7 +34,7 @@
 async def test_batch_is_run_and_read_at_any_daemon(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Positions and contents are the same at both daemons."""
+    """Guards against positions or contents that differ between daemons."""
     reply = await two_daemons.caller.submit(
         two_daemons.address(0), 'b-1', build_batch(ITEMS)
     )
@@ -48,8 +48,9 @@
 
 
 async def test_batch_is_accepted_once(two_daemons: RolloutCluster) -> None:
-    # The answer to a submission is lost and the caller submits it again at
-    # another daemon. A trainer would learn twice from each sample.
+    # Guards against a batch that runs twice when the answer to a submission is
+    # lost and the caller retries at another daemon: a trainer would learn
+    # twice from each sample.
     batch = build_batch(ITEMS)
     replies = await asyncio.gather(
         *(
@@ -68,9 +69,10 @@
 
 
 async def test_batch_is_run_once_by_its_owner(cluster: RolloutCluster) -> None:
-    # The feed shows a new batch before the answer to its write has come. The
-    # daemon took it for one of its own that nobody runs, and ran it twice:
-    # each run's commits failed the other's, over and over.
+    # Guards against a daemon that runs its batch twice when the feed delivers
+    # the new batch before the answer to its write: the daemon would take it
+    # for an orphan, and the commits of both runs would keep failing each
+    # other.
     cluster.store.faults.answer_delay_seconds = 0.5
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(ITEMS))
     cluster.store.faults.answer_delay_seconds = 0
@@ -79,8 +81,8 @@
     assert len(runs) == len(set(runs))
 
 
-async def test_unknown_batch_is_told(cluster: RolloutCluster) -> None:
-    """Also to another client account, whose batch it is not."""
+async def test_unknown_batch_is_not_found(cluster: RolloutCluster) -> None:
+    """Guards against batches that other client accounts can read."""
     reply = await cluster.caller.read(cluster.address(), 'none', wait_ms=0)
     assert reply.status == 404
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(ITEMS))
@@ -91,7 +93,7 @@
 async def test_body_of_an_item_is_read_back(
     two_daemons: RolloutCluster,
 ) -> None:
-    """At any daemon, as long as the item is not listed."""
+    """Guards against bodies that are lost while their items wait."""
     for engine in two_daemons.engines:
         engine.slots = 0
     await two_daemons.caller.submit(
@@ -110,9 +112,9 @@
     assert reply.status == 404
 
 
-async def test_ended_batch_is_run_no_more(two_daemons: RolloutCluster) -> None:
-    # A trainer has enough and ends its batch at another daemon. Items that
-    # went on would take slots from the next step.
+async def test_ended_batch_stops_running(two_daemons: RolloutCluster) -> None:
+    # Guards against items that keep running when a trainer ends its batch at
+    # another daemon: they would take slots from the next step.
     for engine in two_daemons.engines:
         engine.faults.slowdown = 20
     await two_daemons.caller.submit(
@@ -133,9 +135,9 @@
     two_daemons: RolloutCluster,
     lost: str,
 ) -> None:
-    # The daemon that accepted a batch dies, or loses the store and goes on.
-    # The trainer's step would never end; with two owners an item could
-    # stand at two positions.
+    # Guards against a step that never ends when the daemon that accepted its
+    # batch dies or loses the store, and against two owners that list an item
+    # at two positions.
     for engine in two_daemons.engines:
         engine.faults.slowdown = 8
     await two_daemons.caller.submit(
@@ -150,8 +152,8 @@
 
 
 async def test_stopping_owner_hands_over(two_daemons: RolloutCluster) -> None:
-    # The owner of a batch is told to stop. Another daemon goes on at once,
-    # not after a silence.
+    # Guards against a batch that waits for failure detection when its owner
+    # drains: another daemon has to take it over at once.
     for engine in two_daemons.engines:
         engine.faults.slowdown = 30
     await two_daemons.caller.submit(
@@ -167,13 +169,13 @@
 
 
 @pytest.mark.parametrize('stop', ['told', 'killed'])
-async def test_next_owner_goes_on_from_the_text(
+async def test_next_owner_resumes_from_the_saved_text(
     two_daemons: RolloutCluster,
     stop: str,
 ) -> None:
-    # The owner of a batch stops while long items run. Begun anew by each
-    # owner in turn they would come seconds late, and their tokens would be
-    # paid for again.
+    # Guards against long items that start over when the owner of their batch
+    # stops: they would end seconds late and their tokens would be paid for
+    # again.
     for engine in two_daemons.engines:
         engine.faults.slowdown = 40
     await two_daemons.caller.submit(
@@ -199,9 +201,9 @@
     ['crash', 'lost', 'error', 'cut', 'late writes', 'lost writes', 'history'],
 )
 async def test_faults_lose_no_item(cluster: RolloutCluster, fault: str) -> None:
-    # While a batch runs a server crashes, loses answers, fails, cuts its
-    # streams, or the store loses answers, applies writes late or forgets its
-    # history. Each item still has its whole text, once.
+    # Guards against missing, partial or repeated texts when a server crashes,
+    # loses answers, fails or aborts streams, or when the store loses answers,
+    # applies writes late or loses its change log.
     engine = cluster.engines[0]
     for one in cluster.engines:
         one.faults.slowdown = 4
@@ -235,11 +237,11 @@
     check_results(await cluster.caller.read_all(cluster.address(), 'b-1'))
 
 
-async def test_cut_stream_is_resumed_behind_its_last_event(
+async def test_aborted_stream_is_resumed_behind_its_last_event(
     cluster: RolloutCluster,
 ) -> None:
-    # A server cuts a stream after two events. The item goes on behind them
-    # at another server; run from the start its tokens would be paid twice.
+    # Guards against an item that starts over when a server aborts its stream
+    # after two events: its tokens would be paid for twice.
     for engine in cluster.engines:
         engine.faults.stream_cuts, engine.faults.cut_after = 6, 2
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(ITEMS))
@@ -248,11 +250,11 @@
     assert any(run.resumed_after == 2 for run in runs)
 
 
-async def test_submission_without_the_store_is_refused_truly(
+async def test_submission_refused_without_the_store_never_runs(
     cluster: RolloutCluster,
 ) -> None:
-    # The store refuses every write. Nothing of the batch runs, now or when
-    # the store is back, and the caller is told so.
+    # Guards against a batch that runs although it was refused, while the store
+    # refuses every write or once it is back.
     cluster.store.faults.mode = 'busy'
     reply = await cluster.caller.submit(
         cluster.address(), 'b-1', build_batch(ITEMS)
@@ -268,8 +270,9 @@
 async def test_submission_of_unknown_outcome_gets_no_answer(
     cluster: RolloutCluster,
 ) -> None:
-    # Each write of a submission may or may not have taken effect. An answer
-    # would be a promise; a cut channel is none, and the caller asks again.
+    # Guards against a definite answer when each write of a submission may or
+    # may not have taken effect. The connection is aborted instead, and the
+    # caller retries.
     cluster.store.faults.lost_answers = 1.0
     cluster.store.faults.late_seconds = 3.0
     with pytest.raises(aiohttp.ClientError):
@@ -287,22 +290,22 @@
 @pytest.mark.parametrize(
     'body', [b'', b'{}', b'[]', b'{"requests": [{"id": 7}]}']
 )
-async def test_malformed_submission_is_told(
+async def test_malformed_submission_is_a_bad_request(
     cluster: RolloutCluster,
     body: bytes,
 ) -> None:
-    """It is a fault of the caller, and nothing is kept of it."""
+    """Guards against a server error for a caller's malformed batch."""
     reply = await cluster.caller.call(
         cluster.address(), 'POST', f'{documents.BATCH_PREFIX}b-1', body
     )
     assert reply.status == 400
 
 
-async def test_item_that_always_fails_is_given_up(
+async def test_item_that_always_fails_is_abandoned(
     cluster: RolloutCluster,
 ) -> None:
-    # Every server fails on an item. It is abandoned after as many failures
-    # as its route allows, and takes no more slots.
+    # Guards against an item that takes slots forever because every server
+    # fails on it: it is abandoned after as many failures as its route allows.
     for engine in cluster.engines:
         engine.faults.failed_answers = 100
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(['i-0']))
@@ -311,11 +314,11 @@
     assert sum(len(engine.runs) for engine in cluster.engines) == 3
 
 
-async def test_item_that_ran_out_of_time_is_not_given_up(
+async def test_item_that_ran_out_of_time_is_not_abandoned(
     cluster: RolloutCluster,
 ) -> None:
-    # Servers answer that an item's time was over. Only their own failures
-    # say that it can't be done, so it is tried on.
+    # Guards against an item that is abandoned because servers answer that its
+    # time was over: only failures of the servers count against it.
     for engine in cluster.engines:
         engine.faults.expired_answers = 3
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(['i-0']))
@@ -325,8 +328,8 @@
 
 
 async def test_large_text_is_read_back(cluster: RolloutCluster) -> None:
-    # A commit holds more text than a row of the store does. The store would
-    # refuse it again and again, and the batch would never end.
+    # Guards against a commit with more text than a row of the store holds: the
+    # store would refuse it repeatedly, and the batch would never end.
     for engine in cluster.engines:
         engine.padding = 'x' * 9000
     reply = await cluster.caller.submit(
@@ -344,8 +347,9 @@
 async def test_batch_larger_than_a_transaction_is_accepted(
     two_daemons: RolloutCluster,
 ) -> None:
-    # A batch holds more than the store takes at once. Its items are written
-    # first and its head last, so that it stands whole or not at all.
+    # Guards against a batch that is refused or stored in part because it is
+    # larger than a transaction: its items are written first and its head
+    # last.
     items = [build_item(name) for name in ITEMS]
     for item in items:
         item['body'] = base64.b64encode(b'x' * 60_000).decode()
--- a/quetzalcourse/tests/rollout/calls.py
+++ b/quetzalcourse/tests/rollout/calls.py
@@ -1,4 +1,4 @@
-"""Calls that several tests of daemons on a platform make."""
+"""Helpers shared by the tests of daemons on a platform."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def await_membership(cluster: RolloutCluster) -> None:
-    """Wait until all daemons know one another."""
+    """Wait until every daemon lists all others as live."""
     async with asyncio.timeout(10):
         while any(
             len(daemon.presence.list_live()) < len(cluster.daemons)
--- a/quetzalcourse/tests/rollout/duties_tests.py
+++ b/quetzalcourse/tests/rollout/duties_tests.py
@@ -1,4 +1,4 @@
-"""What one daemon at a time does: loads of weights, and usage."""
+"""Duties that one daemon at a time holds: weight loads and usage reports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def name_version(cluster: RolloutCluster, version: int) -> None:
-    """Name a version of the model's weights, as its trainer does."""
+    """Publish a version of the model's weights, as its trainer does."""
     await cluster.store.write(
         'op',
         f'version/{documents.MODEL}',
@@ -23,14 +23,14 @@
 
 
 def list_versions(cluster: RolloutCluster) -> list[int]:
-    """List the versions that the engines hold."""
+    """List the versions that the engines have loaded."""
     return [
         engine.state.versions[documents.MODEL] for engine in cluster.engines
     ]
 
 
 async def await_version(cluster: RolloutCluster, version: int) -> None:
-    """Wait until some engine holds a version."""
+    """Wait until some engine has loaded a version."""
     async with asyncio.timeout(10):
         while version not in list_versions(cluster):
             await asyncio.sleep(0.05)
@@ -39,8 +39,8 @@
 def count_reported(cluster: RolloutCluster) -> int:
     """Count the account's requests in the reports of all windows.
 
-    A new holder sends again what its predecessor may not have sent; the
-    receiver ignores an exact repeat, and nothing else.
+    A new holder resends what its predecessor may not have sent; the receiver
+    ignores exact repeats only.
     """
     figures: dict[int, dict[str, int]] = {}
     for report in cluster.cloud.reports:
@@ -50,7 +50,7 @@
 
 
 async def await_usage(cluster: RolloutCluster, requests: int) -> None:
-    """Wait until the requests are reported, and see that no more are."""
+    """Wait until the requests are reported, and check that no more are."""
     async with asyncio.timeout(15):
         while count_reported(cluster) < requests:
             await asyncio.sleep(0.1)
@@ -59,7 +59,7 @@
 
 
 async def test_named_version_is_loaded(two_daemons: RolloutCluster) -> None:
-    """A step that asks for it is made with it alone."""
+    """Guards against a step generated with too old a version."""
     await name_version(two_daemons, 2)
     await await_version(two_daemons, 2)
     await two_daemons.caller.submit(
@@ -72,8 +72,8 @@
 async def test_orders_come_from_one_daemon_at_a_time(
     two_daemons: RolloutCluster,
 ) -> None:
-    # The daemon that gives orders dies and another one follows. A server
-    # that got orders from both by turns would load and drop versions.
+    # Guards against two daemons that send orders by turns after the holder
+    # of the duties died: servers would load and drop versions repeatedly.
     await name_version(two_daemons, 2)
     await await_version(two_daemons, 2)
     holder = next(one for one in two_daemons.daemons if one.duties.lease.held)
@@ -92,9 +92,9 @@
 async def test_usage_is_reported_once_with_one_figure(
     two_daemons: RolloutCluster,
 ) -> None:
-    # Requests run through both daemons, and one of them dies before its
-    # window is over. The account would pay too little, or two figures of
-    # one window would stand against each other.
+    # Guards against a window that is reported too low or with two figures
+    # when requests ran through both daemons and one of them dies before the
+    # window ends.
     for number in range(10):
         await two_daemons.caller.call(
             two_daemons.address(number % 2),
@@ -114,9 +114,9 @@
 async def test_successor_on_the_same_vm_takes_the_duties_at_once(
     cluster: RolloutCluster,
 ) -> None:
-    # The daemon that holds the duties is killed and starts again on its VM.
-    # Were it to wait for the lease of its own former run, no weights would
-    # be loaded for three seconds after every restart.
+    # Guards against a daemon that is killed, restarts on its VM and waits for
+    # the lease of its previous run: no weights would be loaded for three
+    # seconds after every restart.
     async with asyncio.timeout(5):
         while not cluster.daemons[0].duties.lease.held:
             await asyncio.sleep(0.05)
@@ -127,12 +127,12 @@
     assert successor.duties.lease.token == 2
 
 
-async def test_batch_of_a_former_run_is_taken_over_at_once(
+async def test_batch_of_a_previous_run_is_taken_over_at_once(
     cluster: RolloutCluster,
 ) -> None:
-    # A daemon is killed right after it accepted a batch and starts again.
-    # The batch goes on as soon as the new run is seen, not after the silence
-    # of the former one.
+    # Guards against a batch that waits for the failure detection of the
+    # previous run when its daemon is killed right after accepting it and
+    # restarts.
     for engine in cluster.engines:
         engine.faults.slowdown = 30
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(['i-1']))
@@ -145,9 +145,9 @@
 async def test_usage_of_a_killed_run_is_not_lost(
     cluster: RolloutCluster,
 ) -> None:
-    # A daemon is killed after it counted requests, and starts again on its
-    # VM. Its new run must not begin its row at zero, nor skip the window
-    # that ended meanwhile: the account would pay too little.
+    # Guards against usage that is reported too low when a daemon is killed
+    # after it counted requests: its new run on the VM must neither start its
+    # row at zero nor skip the window that ended meanwhile.
     for number in range(5):
         await cluster.caller.call(
             cluster.address(),
--- a/quetzalcourse/tests/rollout/evacuation_and_cold_start_tests.py
+++ b/quetzalcourse/tests/rollout/evacuation_and_cold_start_tests.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres and cold servers, through real daemons."""
+"""Evacuated data centres and cold servers, with real daemons."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def evacuate(cluster: RolloutCluster) -> None:
-    """Ask for the evacuation of the data centre of all first servers."""
+    """Request the evacuation of the data centre of the initial servers."""
     await cluster.store.write('op', f'evacuate/{documents.DATA_CENTRE}', {})
     await asyncio.sleep(NOTICED_SECONDS)
 
@@ -52,7 +52,7 @@
 async def test_request_is_refused_if_all_servers_are_evacuated(
     cluster: RolloutCluster,
 ) -> None:
-    """Guards against callers that wait for servers they will not get."""
+    """Guards against callers that wait for servers that stay evacuated."""
     await evacuate(cluster)
     reply = await look_up(cluster)
     assert reply.status == 503
@@ -77,7 +77,7 @@
 async def test_items_wait_until_an_evacuation_ends(
     cluster: RolloutCluster,
 ) -> None:
-    """Guards against items that are given up or sent during an evacuation."""
+    """Guards against items that are abandoned or sent during an evacuation."""
     await evacuate(cluster)
     batch = build_batch([f'i-{number}' for number in range(4)])
     assert (
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize('lookups', [0, 40])
-async def test_cold_servers_bear_a_burst(
+async def test_cold_servers_withstand_a_burst(
     cluster: RolloutCluster,
     lookups: int,
 ) -> None:
--- a/quetzalcourse/tests/rollout/outages_tests.py
+++ b/quetzalcourse/tests/rollout/outages_tests.py
@@ -1,4 +1,4 @@
-"""Daemons while the store does not answer all of them, or none."""
+"""Daemons while the store is unavailable to some or all of them."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 async def test_lapsed_entries_are_kept_while_the_store_returns(
     cluster: RolloutCluster,
 ) -> None:
-    # The store is away for a while and forgets the servers' entries and its
-    # history. Lookups go on meanwhile; servers that don't register again
-    # within two seconds of its return are taken as gone.
+    # Guards against lookups that fail after an outage in which the store lost
+    # its registrations and its change log. Servers that don't register again
+    # within two seconds of its return count as gone.
     cluster.store.faults.mode = 'busy'
     await asyncio.sleep(0.5)
     for server in (*cluster.services, *cluster.engines):
@@ -43,21 +43,21 @@
     cluster: RolloutCluster,
     mode: str,
 ) -> None:
-    # The store refuses every call, resets it or says nothing. Lookups need
-    # nothing of it.
+    # Guards against lookups that depend on the store while it refuses, resets
+    # or does not answer calls.
     cluster.store.faults.mode = mode
     await asyncio.sleep(1.5)
     assert (await look_up(cluster)).status == 200
 
 
 @pytest.mark.parametrize('mode', ['busy', 'reset', 'silent'])
-async def test_withdrawn_key_stops_where_the_store_is_out_of_reach(
+async def test_withdrawn_key_is_refused_where_the_store_is_unreachable(
     two_daemons: RolloutCluster,
     mode: str,
 ) -> None:
-    # The store turns one daemon away while it serves the others. A key that
-    # is withdrawn meanwhile would go on working there. The wait that was
-    # open when the fault began still brings changes for a second.
+    # Guards against a withdrawn key that keeps working at a daemon which the
+    # store refuses while it serves the others. The long poll that was open
+    # when the fault began still delivers changes for a second.
     await await_membership(two_daemons)
     two_daemons.store_endpoints[0].faults.mode = mode
     await asyncio.sleep(1.3)
@@ -69,17 +69,17 @@
 
 
 async def ask_ready(cluster: RolloutCluster, number: int) -> int:
-    """Ask a daemon whether it is ready, as the balancer does."""
+    """Query the readiness of a daemon, as the balancer does."""
     address = cluster.daemons[number].settings.listen.readiness
     reply = await cluster.caller.call(address, 'GET', '/quetzalcourse/ready')
     return reply.status
 
 
-async def test_daemon_out_of_reach_of_the_store_gets_no_new_callers(
+async def test_daemon_cut_off_from_the_store_is_not_ready(
     two_daemons: RolloutCluster,
 ) -> None:
-    # The store turns one daemon away while it serves the other. Batches are
-    # refused there, so new callers are better served by the other one.
+    # Guards against new callers at a daemon that the store refuses while it
+    # serves the other one: batches would be refused there.
     await await_membership(two_daemons)
     two_daemons.store_endpoints[0].faults.mode = 'busy'
     await asyncio.sleep(2.5)
@@ -95,7 +95,8 @@
 async def test_all_daemons_stay_ready_without_the_store(
     two_daemons: RolloutCluster,
 ) -> None:
-    # The store is down for all. Lookups need none, and go on.
+    # Guards against all daemons turning not ready when the store is down for
+    # all of them: lookups, which need no store, would fail too.
     await await_membership(two_daemons)
     two_daemons.store.faults.mode = 'busy'
     await asyncio.sleep(2.5)
@@ -105,11 +106,11 @@
     ) == (200, 200)
 
 
-async def test_daemon_without_manifest_promises_to_come_back(
+async def test_daemon_without_manifest_answers_unavailable(
     cluster: RolloutCluster,
 ) -> None:
-    # A daemon starts while the store is down. It knows no route and no key,
-    # so it must not say that there are none.
+    # Guards against "not found" or "unauthenticated" answers of a daemon that
+    # starts while the store is down and knows no routes and keys yet.
     cluster.store.faults.mode = 'busy'
     starting = asyncio.ensure_future(cluster.add_daemon('vm-late'))
     await asyncio.sleep(1.0)
@@ -129,13 +130,13 @@
 
 
 @pytest.mark.parametrize('mode', ['busy', 'reset', 'silent'])
-async def test_daemon_out_of_reach_of_the_store_takes_batches(
+async def test_daemon_cut_off_from_the_store_accepts_batches(
     two_daemons: RolloutCluster,
     mode: str,
 ) -> None:
-    # The store turns one daemon away for some seconds while it serves the
-    # other. A trainer whose channels lead there would lose its step: both of
-    # its tries are over before the balancer has sent it elsewhere.
+    # Guards against a lost step of a trainer that is connected to a daemon
+    # which the store refuses for some seconds while it serves the other: both
+    # attempts of the trainer end before the balancer moves it.
     await await_membership(two_daemons)
     two_daemons.store_endpoints[0].faults.mode = mode
     await asyncio.sleep(2.0)
@@ -156,10 +157,10 @@
     assert len(runs) == len(set(runs))
 
 
-async def test_submission_goes_by_another_daemon_at_the_first_refusal(
+async def test_first_refused_submission_is_relayed_by_another_daemon(
     two_daemons: RolloutCluster,
 ) -> None:
-    """No daemon has said yet that the store answers it."""
+    """Guards against refusal before daemons report who reaches the store."""
     await await_membership(two_daemons)
     two_daemons.store_endpoints[0].faults.mode = 'busy'
     reply = await two_daemons.caller.submit(
@@ -168,11 +169,11 @@
     assert reply.status == 202
 
 
-async def test_owner_out_of_reach_of_the_store_keeps_its_batch(
+async def test_owner_cut_off_from_the_store_keeps_its_batch(
     two_daemons: RolloutCluster,
 ) -> None:
-    # The store turns the owner of a batch away in the middle of it. Were the
-    # batch taken over, its texts would be made again seconds later.
+    # Guards against a takeover when the store refuses the owner of a running
+    # batch: its texts would be generated again seconds later.
     await await_membership(two_daemons)
     for engine in two_daemons.engines:
         engine.faults.slowdown = 40
@@ -186,11 +187,11 @@
     assert len(runs) == len(set(runs))
 
 
-async def test_batch_is_refused_truly_where_nobody_reaches_the_store(
+async def test_batch_is_refused_if_no_daemon_reaches_the_store(
     two_daemons: RolloutCluster,
 ) -> None:
-    # The store is down for all. Nobody can help, and the refusal says so
-    # within a moment of the last try.
+    # Guards against a batch that runs later although it was refused, when the
+    # store is down for all daemons.
     await await_membership(two_daemons)
     two_daemons.store.faults.mode = 'busy'
     reply = await two_daemons.caller.submit(
--- a/quetzalcourse/tests/rollout/quarantine_tests.py
+++ b/quetzalcourse/tests/rollout/quarantine_tests.py
@@ -1,4 +1,4 @@
-"""Requests that end the upstreams which run them, through real daemons."""
+"""Quarantine of requests that crash upstreams, with real daemons."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 POISON = b'poison'
 MAX_CRASHES = 3
-RETURNS = 5
+SUBMISSIONS = 5
 NOTICED_SECONDS = 0.3
 STREAM_HEADERS = {'X-Model': documents.MODEL, 'X-Token-Counts': '8,8'}
 
@@ -34,26 +34,26 @@
 def poison(
     servers: list[UpstreamStandin], body: bytes, events: int = 0
 ) -> None:
-    """Let a body end each server that runs it."""
+    """Let a body crash each server that runs it."""
     for server in servers:
         server.faults.poison = body
         server.faults.poison_events = events
 
 
 def count_crashes(servers: list[UpstreamStandin]) -> int:
-    """Count how often servers ended under a request."""
+    """Count how often servers crashed while running a request."""
     return sum(len(server.crashes) for server in servers)
 
 
-async def await_return() -> None:
-    """Wait until servers that ended are back and known."""
+async def await_restart() -> None:
+    """Wait until crashed servers are back and registered."""
     await asyncio.sleep(RESTART_SECONDS + NOTICED_SECONDS)
 
 
 async def ask(
     cluster: RolloutCluster, path: str, number: int, body: bytes = POISON
 ) -> Reply | None:
-    """Ask by one daemon after the other, ``None`` if the channel broke."""
+    """Send by alternating daemons; ``None`` if the connection broke."""
     headers = {}
     if path in {documents.STREAM_PREFIX, documents.NON_RESUMABLE_PREFIX}:
         headers = STREAM_HEADERS
@@ -80,28 +80,28 @@
         (documents.NON_RESUMABLE_PREFIX, 2),
     ],
 )
-async def test_request_that_ends_upstreams_stops_reaching_them(
+async def test_request_that_crashes_upstreams_is_sent_no_more(
     two_daemons: RolloutCluster,
     path: str,
     events: int,
 ) -> None:
-    """Guards against a request that ends all upstreams over and over."""
+    """Guards against a request that crashes all upstreams repeatedly."""
     servers = [*two_daemons.services, *two_daemons.engines]
     poison(servers, POISON, events)
     await await_membership(two_daemons)
-    for number in range(RETURNS):
+    for number in range(SUBMISSIONS):
         await ask(two_daemons, path, number)
-        await await_return()
+        await await_restart()
     assert count_crashes(servers) <= MAX_CRASHES
     assert (  # type: ignore
         await ask(two_daemons, path, 0, b'salt')
     ).status == 200
 
 
-async def test_item_that_ends_upstreams_stops_reaching_them(
+async def test_item_that_crashes_upstreams_is_sent_no_more(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Guards against an item that ends engines until its batch is over."""
+    """Guards against an item that crashes engines until its batch is over."""
     poison(two_daemons.engines, b'body of bad')
     await await_membership(two_daemons)
     batch = build_batch(['good', 'bad', 'fair'])
@@ -117,10 +117,10 @@
     }
 
 
-async def test_scoring_call_that_ends_upstreams_stops_reaching_them(
+async def test_scoring_call_that_crashes_upstreams_is_sent_no_more(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Guards against a scoring call that ends the service of humans."""
+    """Guards against a scoring call that crashes a service used by humans."""
     poison(two_daemons.services, b'text of bad')
     await await_membership(two_daemons)
     batch = build_batch(['good', 'bad'], scored=True)
@@ -135,19 +135,19 @@
 
 
 async def quarantine_lookup(cluster: RolloutCluster) -> None:
-    """Let upstreams end under a lookup until it is quarantined."""
+    """Let a lookup crash upstreams until it is quarantined."""
     poison(cluster.services, POISON)
     await await_membership(cluster)
     for number in range(2):
         await ask(cluster, LOOKUP, number)
-        await await_return()
+        await await_restart()
     assert count_crashes(cluster.services) == MAX_CRASHES
 
 
 async def test_quarantined_request_is_refused_at_once(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Guards against a caller that is not told when to come back."""
+    """Guards against a caller that is not told when to retry."""
     await quarantine_lookup(two_daemons)
     for number in range(2):
         reply = await ask(two_daemons, LOOKUP, number)
@@ -164,7 +164,7 @@
 async def test_quarantine_outlives_all_daemons(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Guards against upstreams that end again after each restart."""
+    """Guards against upstreams that crash again after daemons restart."""
     await quarantine_lookup(two_daemons)
     for daemon in tuple(two_daemons.daemons):
         await two_daemons.end_daemon(daemon)
@@ -181,7 +181,7 @@
     tmp_path: Path,
     capsys: pytest.CaptureFixture,
 ) -> None:
-    """Guards against a request that stays refused once its cause is mended."""
+    """Guards against a request that stays refused once its cause is fixed."""
     await quarantine_lookup(two_daemons)
     poison(two_daemons.services, b'')
     path = tmp_path / 'settings.json'
@@ -207,10 +207,10 @@
         assert reply.status == 200
 
 
-async def test_bystanders_of_such_a_request_are_served(
+async def test_bystanders_of_a_crashing_request_are_served(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Guards against blame for requests that ran on the same upstreams."""
+    """Guards against quarantine of requests that ran on the same upstreams."""
     await await_membership(two_daemons)
     poison(two_daemons.services, POISON)
     bodies = [f'salt {number}'.encode() for number in range(6)]
@@ -224,7 +224,7 @@
         await asyncio.sleep(NOTICED_SECONDS / 6)
         await ask(two_daemons, LOOKUP, number)
         await asyncio.gather(*asking)
-        await await_return()
+        await await_restart()
     assert 2 <= count_crashes(two_daemons.services) <= MAX_CRASHES
     runs = [run for server in two_daemons.services for run in server.runs]
     struck = Counter(run.body for run in runs if run.body in bodies)
@@ -237,10 +237,10 @@
         assert reply.status == 200
 
 
-async def test_servers_that_end_by_themselves_blame_no_request(
+async def test_servers_that_crash_otherwise_quarantine_no_request(
     two_daemons: RolloutCluster,
 ) -> None:
-    """Guards against blame for a popular request when servers are killed."""
+    """Guards against quarantine of a popular request if servers are killed."""
     await await_membership(two_daemons)
     for server in two_daemons.services:
         server.faults.slowdown = 10
--- a/quetzalcourse/tests/rollout/requests_tests.py
+++ b/quetzalcourse/tests/rollout/requests_tests.py
@@ -1,4 +1,4 @@
-"""Requests of callers through a daemon to servers and back."""
+"""Requests that a daemon forwards from callers to servers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def count_runs(cluster: RolloutCluster) -> int:
-    """Count the requests that plain servers began to work on."""
+    """Count the requests that plain servers started to run."""
     return sum(len(server.runs) for server in cluster.services)
 
 
 async def test_request_comes_back_unchanged(cluster: RolloutCluster) -> None:
-    """The server's body, status and stamp reach the caller."""
+    """Guards against a changed body, status or stamp of the server."""
     reply = await look_up(cluster, f'{LOOKUP}7?shelf=2', request_id='r-77')
     assert reply.status == 200
     assert reply.body == b'answer to salt'
@@ -35,7 +35,7 @@
 async def test_server_sees_the_account_and_never_the_key(
     cluster: RolloutCluster,
 ) -> None:
-    """The account's name takes the place of the key, whatever came."""
+    """Guards against servers that see a key or a forged account."""
     await look_up(cluster, headers={'X-Tenant': 'somebody-else'})
     runs = [run for server in cluster.services for run in server.runs]
     assert [run.client_account for run in runs] == [documents.ACCOUNT]
@@ -51,20 +51,20 @@
         (f'{documents.PUBLIC_PREFIX}x', '', 200),
     ],
 )
-async def test_unknown_route_or_key_is_told(
+async def test_unknown_route_or_key_is_rejected(
     cluster: RolloutCluster,
     path: str,
     key: str,
     status: int,
 ) -> None:
-    """Each has its own clear answer, and public routes ask for no key."""
+    """Guards against wrong statuses, and public routes that require a key."""
     caller = Caller(key)
     reply = await caller.call(cluster.address(), 'POST', path, b'salt')
     assert reply.status == status
 
 
 async def test_longest_prefix_wins(cluster: RolloutCluster) -> None:
-    """A route below another takes the requests below its own prefix."""
+    """Guards against a shorter prefix that takes requests of a longer one."""
     config = documents.build_config(2)
     config['routes'].append(
         documents.build_route(f'{LOOKUP}rare/', 'idempotent', timeout_ms=1)
@@ -84,16 +84,16 @@
         (ONCE, UpstreamFaults(failed_answers=1), 500, 1),
     ],
 )
-async def test_lost_answer_is_asked_for_again_only_if_that_is_safe(
+async def test_lost_answer_is_retried_only_if_idempotent(
     cluster: RolloutCluster,
     path: str,
     faults: UpstreamFaults,
     status: int,
     runs: int,
 ) -> None:
-    # A server runs a request and its answer is lost or an error. A caller
-    # of a lookup notices nothing; one whose request must run once learns
-    # that its outcome is unknown, and it did not run twice.
+    # Guards against a non-idempotent request that runs twice when its answer
+    # is lost or an error: its caller learns that the outcome is unknown. A
+    # lookup is retried, and its caller notices nothing.
     for server in cluster.services:
         server.faults = UpstreamFaults()
         server.slots = 8
@@ -109,11 +109,11 @@
     assert count_runs(cluster) == runs
 
 
-async def test_bytes_behind_an_answer_reach_nobody(
+async def test_bytes_behind_an_answer_reach_no_caller(
     cluster: RolloutCluster,
 ) -> None:
-    # A server sends a second answer behind the first one. The next caller
-    # on that channel would get an answer that belongs to nobody.
+    # Guards against a second answer that a server sends behind the first one:
+    # the next caller on that connection would get it.
     cluster.services[1].slots = 0
     cluster.services[0].faults.duplicated_answers = 3
     replies = [
@@ -125,8 +125,9 @@
 async def test_late_request_has_its_final_answer_in_time(
     cluster: RolloutCluster,
 ) -> None:
-    # Every server fell silent. The caller of a lookup learns at its route's
-    # timeout that the outcome is unknown, not when its own patience ends.
+    # Guards against a caller that waits for its own timeout when no server
+    # answers: it learns at the timeout of its route that the outcome is
+    # unknown.
     for server in cluster.services:
         server.faults.unresponsive = True
     began = asyncio.get_running_loop().time()
@@ -139,8 +140,8 @@
 async def test_refusal_of_all_servers_is_passed_on_as_not_run(
     cluster: RolloutCluster,
 ) -> None:
-    # All servers are full. The caller is refused at once with the time to
-    # come back, and nothing has run.
+    # Guards against a refusal without a Retry-After time, or of a request that
+    # did run, when all servers are full.
     for server in cluster.services:
         server.slots = 0
     reply = await look_up(cluster)
@@ -150,8 +151,9 @@
 
 
 async def test_reused_address_runs_nothing(cluster: RolloutCluster) -> None:
-    # A server is gone and another one has its address. A request that is
-    # sent there by an old entry must not run for the wrong service.
+    # Guards against a request that runs on the wrong service because a server
+    # is gone and another one has its address while the old registration is
+    # still known.
     gone = cluster.services[0]
     gone.name = 'somebody-else'
     replies = [await look_up(cluster) for _ in range(4)]
@@ -160,8 +162,8 @@
 
 
 async def test_withdrawn_key_stops_working(cluster: RolloutCluster) -> None:
-    # A key is taken away while its holder is connected. Within two seconds
-    # the holder is refused.
+    # Guards against a withdrawn key that keeps working for a connected caller:
+    # it has to be refused within two seconds.
     config = documents.build_config(2)
     config['tenants'][0]['api_keys'] = ['another']
     await cluster.store.write('op', 'config', config)
@@ -170,8 +172,8 @@
 
 
 async def test_older_manifest_never_comes_back(cluster: RolloutCluster) -> None:
-    # The store shows an older version after a newer one. Callers of a new
-    # route would find it gone again.
+    # Guards against a store that returns an older version after a newer one:
+    # routes that were added would disappear again.
     await cluster.store.write('op', 'config', documents.build_config(9))
     await asyncio.sleep(0.2)
     old = documents.build_config(5, routes=[])
@@ -185,8 +187,8 @@
     cluster: RolloutCluster,
     content: bytes,
 ) -> None:
-    # Something else writes into the tables of operators and servers. The
-    # manifest and the servers that are known hold.
+    # Guards against the loss of the current manifest or known servers when
+    # other software writes malformed rows into their tables.
     await cluster.store.write('op', 'config', content)
     await cluster.store.write('servers', 'junk', content)
     await asyncio.sleep(0.3)
@@ -194,8 +196,8 @@
 
 
 async def test_leaving_server_gets_no_new_work(cluster: RolloutCluster) -> None:
-    # A server says that it leaves. It would end requests that it is given
-    # from now on.
+    # Guards against requests that are sent to a draining server, which would
+    # end them.
     leaving = cluster.services[0]
     leaving.leaving = True
     await leaving.register()
@@ -206,7 +208,7 @@
 
 
 async def test_body_above_the_limit_is_refused(cluster: RolloutCluster) -> None:
-    """The limit is the manifest's."""
+    """Guards against bodies above the limit of the manifest."""
     reply = await cluster.caller.call(
         cluster.address(), 'POST', LOOKUP, b'x' * 1_000_001
     )
@@ -214,7 +216,7 @@
 
 
 async def test_large_body_is_passed_on_whole(cluster: RolloutCluster) -> None:
-    """A body that is too large to keep is streamed."""
+    """Guards against truncated bodies that are streamed for their size."""
     body = b'0123456789' * 60_000
     reply = await cluster.caller.call(cluster.address(), 'POST', LOOKUP, body)
     assert reply.status == 200
@@ -222,8 +224,8 @@
 
 
 async def test_stop_cuts_no_request(cluster: RolloutCluster) -> None:
-    # A daemon is told to stop while it serves a slow lookup. The caller gets
-    # the whole answer, and the daemon is not ready any more.
+    # Guards against a lookup that is aborted because its daemon drains, and
+    # against a draining daemon that reports ready.
     for server in cluster.services:
         server.faults.slowdown = 30
     asking = asyncio.ensure_future(look_up(cluster))
--- a/quetzalcourse/tests/rollout/scored_batches_tests.py
+++ b/quetzalcourse/tests/rollout/scored_batches_tests.py
@@ -1,4 +1,4 @@
-"""Scores of whole texts: asked for once a text stands, whatever happens."""
+"""Scoring calls for the complete texts of items."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     from quetzalcourse.standins.rollout.upstream import Run
     from quetzalcourse.standins.rollout.cluster import RolloutCluster
 
-# Time in which a call that was sent before may still arrive, in seconds.
-ON_THE_WAY = 0.1
+# Time within which a call that was sent before may still arrive.
+IN_FLIGHT_SECONDS = 0.1
 ITEMS = [f'i-{number}' for number in range(12)]
 PREFIX = documents.SCORING_PREFIX
 
 
 def list_calls(cluster: RolloutCluster) -> list[Run]:
-    """List the scoring calls that servers began to work on."""
+    """List the scoring calls that servers started to run."""
     return [run for service in cluster.services for run in service.runs]
 
 
 def check_results(
     cluster: RolloutCluster, results: list[dict[str, Any]]
 ) -> None:
-    """Check that each item has its whole text and a score of its own."""
+    """Check that each item has its full text and its own score."""
     assert sorted(result['id'] for result in results) == sorted(ITEMS)
     names = {service.name for service in cluster.services}
     for result in results:
@@ -45,7 +45,7 @@
 
 
 def set_slots(cluster: RolloutCluster, slots: int) -> None:
-    """Let each server of the scoring service have as many slots."""
+    """Set the number of slots of each server of the scoring service."""
     for service in cluster.services:
         service.slots = slots
 
@@ -58,17 +58,17 @@
 
 
 async def await_unscored(cluster: RolloutCluster) -> None:
-    """Wait until every text stands whole at the first daemon."""
+    """Wait until every text is complete at the first daemon."""
     batch = cluster.daemons[0].batches.runner.batches['b-1']
     async with asyncio.timeout(10):
         while not all(run.text_complete for run in batch.items):
             await asyncio.sleep(0.05)
 
 
-async def test_texts_are_scored_once_they_are_whole(
+async def test_texts_are_scored_once_complete(
     cluster: RolloutCluster,
 ) -> None:
-    """The call carries its own id and body, and neither key nor account."""
+    """Guards against early calls, and calls that carry a key or account."""
     await submit(cluster)
     check_results(
         cluster, await cluster.caller.read_all(cluster.address(), 'b-1')
@@ -90,7 +90,7 @@
 async def test_results_without_a_scoring_call_have_no_score(
     cluster: RolloutCluster,
 ) -> None:
-    """Their results look as they always did."""
+    """Guards against a score field in results without a scoring call."""
     await cluster.caller.submit(cluster.address(), 'b-1', build_batch(ITEMS))
     results = await cluster.caller.read_all(cluster.address(), 'b-1')
     assert not any('score' in result for result in results)
@@ -113,9 +113,10 @@
     cluster: RolloutCluster,
     fault: str,
 ) -> None:
-    # A server of the scoring service fails, loses answers, falls silent, is
-    # full, cuts bodies off, answers for another call, or crashes. A trainer
-    # would learn from a score that is nobody's, or wait for one for ever.
+    # Guards against wrong or missing scores when a server of the scoring
+    # service fails, loses answers, does not answer, is full, truncates
+    # bodies, answers for another call or crashes: a trainer would learn from
+    # a wrong score or wait forever.
     server = cluster.services[0]
     if fault == 'error':
         server.faults.failed_answers = 1
@@ -140,11 +141,12 @@
     )
 
 
-async def test_text_whose_scoring_always_fails_is_given_up(
+async def test_text_whose_scoring_always_fails_is_abandoned(
     cluster: RolloutCluster,
 ) -> None:
-    # The scoring service fails on a text each time. Its item is abandoned
-    # after as many failures as the route allows, and the text is made once.
+    # Guards against endless scoring, and against regenerated texts, when the
+    # scoring service always fails on a text: its item is abandoned after as
+    # many failures as the route allows.
     for service in cluster.services:
         service.faults.failed_answers = 100
     await submit(cluster, ['i-0'])
@@ -157,9 +159,9 @@
 async def test_scoring_that_ran_out_of_time_is_no_failure(
     cluster: RolloutCluster,
 ) -> None:
-    # Servers of the scoring service answer that the time of a call was over,
-    # which is the daemon's own short wait. Counted as failures of the text,
-    # its item would be abandoned though it has a score a moment later.
+    # Guards against expired scoring calls that count as failures of the text.
+    # They expire because the daemon waits briefly for each call; the item
+    # would be abandoned although it has a score a moment later.
     for service in cluster.services:
         service.faults.expired_answers = 3
     await submit(cluster, ['i-0'])
@@ -169,11 +171,11 @@
     assert len(list_calls(cluster)) == 7
 
 
-async def test_unscored_texts_hold_no_slot_of_an_engine(
+async def test_unscored_texts_occupy_no_engine_slot(
     cluster: RolloutCluster,
 ) -> None:
-    # The scoring service is away for a while. Texts that wait for it must
-    # not keep other texts from being made.
+    # Guards against texts that occupy engine slots while they wait for an
+    # unavailable scoring service: no other texts could be generated.
     set_slots(cluster, 0)
     await submit(cluster)
     await await_unscored(cluster)
@@ -186,11 +188,11 @@
     )
 
 
-async def test_route_that_moves_takes_its_scoring_calls_along(
+async def test_scoring_calls_wait_for_a_dropped_route_to_return(
     cluster: RolloutCluster,
 ) -> None:
-    # The route of the scoring calls is dropped while texts wait for their
-    # scores, and comes back. Nothing says meanwhile that they have none.
+    # Guards against results without a score when the route of the scoring
+    # calls is dropped while texts wait for their scores, and comes back.
     set_slots(cluster, 0)
     await submit(cluster)
     await await_unscored(cluster)
@@ -210,13 +212,13 @@
 
 
 @pytest.mark.parametrize('end', ['killed', 'told to stop', 'cut off'])
-async def test_next_owner_scores_what_is_whole(
+async def test_next_owner_scores_complete_texts(
     two_daemons: RolloutCluster,
     end: str,
 ) -> None:
-    # The owner of a batch goes between the end of a text and its score. The
-    # next one asks for the score alone; made again, the texts would come
-    # late and their tokens be paid twice.
+    # Guards against texts that are generated again when the owner of a batch
+    # is lost between the end of a text and its score: they would come late
+    # and their tokens would be paid for twice. The next owner only scores.
     set_slots(two_daemons, 0)
     await submit(two_daemons)
     await await_unscored(two_daemons)
@@ -240,11 +242,11 @@
     assert sum(len(engine.runs) for engine in two_daemons.engines) == len(ITEMS)
 
 
-async def test_ended_batch_is_scored_no_more(
+async def test_ended_batch_stops_scoring(
     two_daemons: RolloutCluster,
 ) -> None:
-    # A trainer has enough and ends its batch while calls are under way.
-    # Their slots are wanted by others.
+    # Guards against scoring calls that go on after the trainer has ended its
+    # batch: others need their slots.
     for service in two_daemons.services:
         service.faults.slowdown = 60
     await submit(two_daemons)
@@ -257,15 +259,19 @@
     ended = time.monotonic()
     await asyncio.sleep(1.0)
     later = [
-        run for run in list_calls(two_daemons) if run.at > ended + ON_THE_WAY
+        run
+        for run in list_calls(two_daemons)
+        if run.at > ended + IN_FLIGHT_SECONDS
     ]
     assert not later
     assert sum(service.running for service in two_daemons.services) == 0
 
 
-async def test_lookups_pass_a_burst_of_scores(cluster: RolloutCluster) -> None:
-    # The texts of a large step end together and all want their scores. A
-    # human's lookup is served meanwhile, not refused and not behind them.
+async def test_lookups_are_served_during_a_burst_of_scores(
+    cluster: RolloutCluster,
+) -> None:
+    # Guards against human lookups that are refused or queued behind scoring
+    # calls when all texts of a large step end together.
     for service in cluster.services:
         service.faults.slowdown = 20
         service.slots = 6
--- a/quetzalcourse/tests/rollout/secrets_tests.py
+++ b/quetzalcourse/tests/rollout/secrets_tests.py
@@ -1,4 +1,4 @@
-"""Log lines of daemons while callers plant what must not be in them."""
+"""Log lines of daemons must not contain keys, prompts or bodies."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 @pytest_asyncio.fixture(autouse=True)
 async def plain_lines() -> None:
-    """Let lines go to standard output, whatever another test set up."""
+    """Log to standard output, whatever another test configured."""
     structlog.reset_defaults()
 
 
-async def call_in_every_way(cluster: RolloutCluster) -> None:
-    """Send what is served, refused, malformed and broken off."""
+async def send_varied_calls(cluster: RolloutCluster) -> None:
+    """Send calls that are served, refused, malformed or broken off."""
     address = cluster.address()
     body = PLANTED.encode()
     for path in (LOOKUP, ONCE, '/nowhere/'):
@@ -54,9 +54,9 @@
 
 
 async def run_batch(cluster: RolloutCluster) -> list[str]:
-    """Run a batch whose items hold what is planted.
+    """Run a batch whose items contain the planted prompt.
 
-    :returns: the texts that were made of them.
+    :returns: the texts generated for them.
     """
     batch = build_batch(['i-1', 'i-2'])
     for item in batch['requests']:
@@ -69,7 +69,7 @@
 
 
 async def write_malformed_rows(cluster: RolloutCluster) -> None:
-    """Write rows that can't be read, as other writers may."""
+    """Write malformed rows, as other writers may."""
     config = documents.build_config(2)
     config['tenants'][0]['api_keys'] = [{'key': PLANTED}]
     await cluster.store.write('op', 'config', config)
@@ -83,9 +83,10 @@
     cluster: RolloutCluster,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # Lines of the daemons are collected and read by many people. A key in
-    # one of them would have to be withdrawn, and a prompt can't be.
-    await call_in_every_way(cluster)
+    # Guards against secrets in log lines, which are collected and read by many
+    # people: a logged key would have to be withdrawn, and a logged prompt
+    # can't be.
+    await send_varied_calls(cluster)
     texts = await run_batch(cluster)
     await write_malformed_rows(cluster)
     lines = capsys.readouterr().out
@@ -97,14 +98,14 @@
         assert secret not in lines, secret
 
 
-async def test_leaving_callers_and_a_stop_leave_no_trace_of_a_library(
+async def test_disconnects_and_a_stop_log_no_library_traceback(
     cluster: RolloutCluster,
     capsys: pytest.CaptureFixture[str],
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # A caller leaves while its request runs, and its daemon stops. A report
-    # of a library in between would say that something broke, and its trace
-    # would hide lines from whoever searches them.
+    # Guards against tracebacks that a library logs when a caller disconnects
+    # during its request or the daemon stops: they would look like a failure
+    # and clutter searches of the log.
     for server in cluster.services:
         server.faults.slowdown = 30
     asking = asyncio.ensure_future(
--- a/quetzalcourse/tests/rollout/streams_tests.py
+++ b/quetzalcourse/tests/rollout/streams_tests.py
@@ -1,4 +1,4 @@
-"""Streams of events through a daemon, whole and broken."""
+"""Event streams through a daemon, complete and interrupted."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def write_stream(request_id: str, after: int = 0) -> bytes:
-    """Write all events of a stream."""
+    """Build the events of a stream behind an event."""
     return ''.join(
         f'id: {number}\ndata: {write_event(request_id, number)}\n\n'
         for number in range(after + 1, count_events(request_id) + 1)
@@ -33,7 +33,7 @@
 async def stream(
     cluster: RolloutCluster, prefix: str, after: str = ''
 ) -> Reply:
-    """Ask for a long stream."""
+    """Request a long stream."""
     headers = {'X-Model': documents.MODEL, 'X-Token-Counts': '8,8'}
     if after:
         headers['Last-Event-Id'] = after
@@ -52,23 +52,23 @@
     cluster: RolloutCluster,
     prefix: str,
 ) -> None:
-    """With the headers of its server."""
+    """Guards against missing events or missing headers of the server."""
     reply = await stream(cluster, prefix)
     assert reply.body == write_stream(LONG)
     assert reply.headers['X-Weight-Versions'] == '1'
 
 
 async def test_caller_resumes_its_stream(cluster: RolloutCluster) -> None:
-    """The server goes on behind the event that the caller names."""
+    """Guards against a resumption that ignores the last event id."""
     reply = await stream(cluster, STREAM, after='5')
     assert reply.body == write_stream(LONG, 5)
 
 
-async def test_broken_stream_goes_on_within_one_answer(
+async def test_interrupted_stream_is_resumed_within_one_answer(
     cluster: RolloutCluster,
 ) -> None:
-    # A server cuts a stream that may be resumed. The caller notices no more
-    # than a pause: no event is missing and none comes twice.
+    # Guards against missing or repeated events when a server aborts a
+    # resumable stream; the caller sees no more than a pause.
     for engine in cluster.engines:
         engine.faults.stream_cuts, engine.faults.cut_after = 1, 4
     cluster.engines[1].faults.cut_after = 9
@@ -76,9 +76,11 @@
     assert reply.body == write_stream(LONG)
 
 
-async def test_broken_stream_never_looks_whole(cluster: RolloutCluster) -> None:
-    # A server cuts a stream that must not be resumed. A caller that took
-    # what came for the whole would lose the rest.
+async def test_interrupted_stream_never_looks_complete(
+    cluster: RolloutCluster,
+) -> None:
+    # Guards against a normal end of the answer when a server aborts a stream
+    # that must not be resumed: the caller would lose the rest unnoticed.
     for engine in cluster.engines:
         engine.faults.stream_cuts, engine.faults.cut_after = 1, 4
     with pytest.raises(aiohttp.ClientError):
