--- a/quetzalcourse/tests/standins/documents_tests.py
+++ b/quetzalcourse/tests/standins/documents_tests.py
@@ -1,4 +1,4 @@
-"""Settings that stand-ins write for daemons."""
+"""Settings that the stand-ins build for daemons."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 PORT_RANGE = (15_000, 15_040)
 
 
-def test_ports_of_daemons_that_still_start_stay_theirs(
+def test_ports_of_starting_daemons_are_not_reassigned(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against two daemons of a deployment that get the same port."""
