--- a/quetzalcourse/tests/clocks.py
+++ b/quetzalcourse/tests/clocks.py
@@ -1,4 +1,4 @@
-"""Clock that moves only when a test says so."""
+"""Fake clock that only tests advance."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 class FakeClock:
     """Clock for tests.
 
-    :param rate: how fast it runs against the time that tests give it.
+    :param rate: speed relative to the durations that tests give.
     """
 
     def __init__(self, rate: float = 1.0) -> None:
-        """Begin a thousand seconds after boot."""
+        """Start a thousand seconds after boot."""
         self._elapsed = timedelta(seconds=1000)
         self._rate = rate
         self.calendar_error = timedelta(0)
@@ -26,15 +26,15 @@
         self._numbers = itertools.count()
 
     def elapsed(self) -> timedelta:
-        """Tell the time since boot."""
+        """Return the time since boot."""
         return self._elapsed
 
     def now(self) -> datetime:
-        """Tell the calendar time."""
+        """Return the calendar time in UTC."""
         return EPOCH + self._elapsed + self.calendar_error
 
     async def sleep(self, duration: timedelta) -> None:
-        """Wait until the test has moved the clock far enough."""
+        """Wait until the test has advanced the clock far enough."""
         if duration <= timedelta(0):
             await asyncio.sleep(0)
             return
@@ -44,11 +44,11 @@
         await future
 
     def move(self, duration: timedelta) -> None:
-        """Move the clock without waking anyone, as a pause does."""
+        """Advance the clock without waking sleepers, like a paused process."""
         self._elapsed += duration * self._rate
 
     async def advance(self, duration: timedelta) -> None:
-        """Move the clock and wake the sleepers in the order of their times."""
+        """Advance the clock and wake sleepers in order of their deadlines."""
         await settle()
         end = self._elapsed + duration * self._rate
         while self._sleepers and self._sleepers[0][0] <= end:
@@ -62,6 +62,6 @@
 
 
 async def settle() -> None:
-    """Let every task run until it waits for something."""
+    """Run all tasks until they wait for something."""
     for _ in range(SETTLE_ROUNDS):
         await asyncio.sleep(0)
--- a/quetzalcourse/tests/command_output.py
+++ b/quetzalcourse/tests/command_output.py
@@ -1,4 +1,4 @@
-"""What commands print, told from log lines of daemons in the same process."""
+"""Output of commands, separated from log lines in the same process."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 def read_document(capsys: pytest.CaptureFixture[str]) -> Any:
-    """Read the one document that a command printed since the last reading."""
+    """Read the JSON document printed since the output was last read."""
     (found,) = DOCUMENT.findall(capsys.readouterr().out)
     return json.loads(found)
--- a/quetzalcourse/tests/conftest.py
+++ b/quetzalcourse/tests/conftest.py
@@ -13,10 +13,10 @@
 
 @pytest.fixture(autouse=True)
 def log_defaults() -> Iterator[None]:
-    """Undo what a command or a daemon of a test set up for its logs.
+    """Reset the log configuration that a command or daemon of a test set.
 
-    The level holds for the process; without this, a test that reads logs
-    would depend on the tests that ran before it.
+    The level applies to the whole process. Without the reset, tests that read
+    logs would depend on the tests that ran before them.
     """
     yield
     structlog.reset_defaults()
--- a/quetzalcourse/tests/coordinators.py
+++ b/quetzalcourse/tests/coordinators.py
@@ -1,4 +1,4 @@
-"""Daemons that run batches and share upstreams, for tests."""
+"""Batch coordinators that share upstreams, for tests."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class FixedCoordinators:
-    """Coordinators that a test decides."""
+    """Fixed list of coordinators."""
 
     def __init__(self, *others: Member) -> None:
-        """Keep the others."""
+        """Store the other coordinators."""
         self._others = others
 
     def list_others(self) -> list[Member]:
-        """List the others."""
+        """List the other coordinators."""
         return list(self._others)
 
 
@@ -45,10 +45,10 @@
     count: int = 1,
     network: FakeNetwork | None = None,
 ) -> tuple[SlotAllocator, SlotUsageUpdates]:
-    """Build what one coordinator knows of the others' slots.
+    """Build the slot allocator and the usage updates of a coordinator.
 
-    :param number: which of the coordinators it is.
-    :param count: how many coordinators there are.
+    :param number: index of the coordinator in :data:`COORDINATORS`.
+    :param count: number of coordinators.
     """
     own = COORDINATORS[number]
     everyone = COORDINATORS[:count]
--- a/quetzalcourse/tests/engines.py
+++ b/quetzalcourse/tests/engines.py
@@ -1,4 +1,4 @@
-"""Engines that follow a script, for tests."""
+"""Fake engines that replay scripts, for tests."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptedChunk:
-    """Tokens of :data:`ANSWER` that a script sends together.
+    """Tokens of :data:`ANSWER` that a script sends in one chunk.
 
     :param first: offset of the first token.
     :param end: offset behind the last token.
-    :param request_id: another request's id, if the piece is crossed.
+    :param request_id: id of another request, for a misdirected chunk.
     """
 
     first: int
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True)
 class FakeEngines:
-    """Connections to engines that play one script an attempt.
+    """Connections to engines that replay one script per attempt.
 
-    A script is a row of pieces; a state ends the attempt with it, and
-    ``stall`` sends nothing until the attempt is given up. Attempts beyond
-    the scripts play the rest of the answer.
+    A script is a sequence of chunks. An attempt state ends the attempt with
+    that state, and ``stall`` sends nothing until the attempt is cancelled.
+    Attempts beyond the scripts send the rest of the answer.
 
     :param sent: engine, attempt id and resumed tokens of each attempt.
-    :param pause: lets ten seconds pass before each piece, if set.
+    :param pause: called with :data:`PAUSE` before each chunk, if set.
     """
 
     scripts: list[tuple[Step, ...]]
@@ -64,7 +64,7 @@
         request: GenerationRequest,
         tokens: tuple[str, ...],
     ) -> AsyncIterator[Chunk]:
-        """Play the next script."""
+        """Replay the next script."""
         self.sent.append((upstream.name, request.request_id, tokens))
         rest = (ScriptedChunk(len(tokens), len(ANSWER)),)
         script = self.scripts.pop(0) if self.scripts else rest
@@ -98,7 +98,7 @@
 
 
 def make_chunk(request_id: str, piece: ScriptedChunk) -> Chunk:
-    """Make the chunk of a piece."""
+    """Build the chunk of a script step."""
     return Chunk(
         piece.request_id or request_id,
         piece.first,
--- a/quetzalcourse/tests/feeds.py
+++ b/quetzalcourse/tests/feeds.py
@@ -1,4 +1,4 @@
-"""Table of a platform's store in memory, with its feed, for tests."""
+"""In-memory table of the platform's store with its feed, for tests."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class FakeFeed:
-    """Rows of one table, whose versions come from a single counter.
+    """Rows of one table, with versions from a single counter.
 
-    ``reads`` counts the answers, ``writes`` the transactions that were asked
-    for, ``down`` turns everything away.
+    ``reads`` counts read calls, ``writes`` counts transactions, and ``down``
+    refuses every call.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin empty."""
+        """Create an empty table."""
         self.rows: dict[str, Row] = {}
         self.reads = 0
         self.writes = 0
@@ -66,7 +66,7 @@
         self,
         transaction: Transaction,
     ) -> Result[TransactionResult, StoreFault]:
-        """Write rows if every condition holds."""
+        """Write rows atomically if every condition holds."""
         self.writes += 1
         if self.down:
             return Err(StoreFault(FaultKind.not_applied, 'write', ''))
@@ -108,7 +108,7 @@
         version: int,
         wait: timedelta,
     ) -> Result[RowChanges, StoreFault]:
-        """Wait for rows behind a version."""
+        """Wait for rows that are newer than a version."""
         self.reads += 1
         if self.down:
             return Err(StoreFault(FaultKind.not_applied, 'follow', ''))
@@ -131,8 +131,8 @@
 
 
 class NoStoreClock:
-    """Store whose clock nobody has read."""
+    """Store clock that has not been read yet."""
 
     def estimate(self) -> timedelta | None:
-        """Know nothing."""
+        """Return no estimate."""
         return None
--- a/quetzalcourse/tests/gates.py
+++ b/quetzalcourse/tests/gates.py
@@ -1,4 +1,4 @@
-"""Tables whose requests are held up before and after their effect."""
+"""Tables whose requests wait before and after they are applied."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 
 class GatedTable:
-    """One contender's way to a store; each gate waits to be opened.
+    """Access of one contender to a store; each gate waits to be opened.
 
-    :param store: the store that all contenders share.
+    :param store: store that all contenders share.
     """
 
     def __init__(self, store: FakeStore) -> None:
-        """Begin with no request waiting."""
+        """Start without waiting requests."""
         self._store = store
         self._gates: deque[asyncio.Future[bool]] = deque()
 
     def open(self, lose: bool = False) -> None:
-        """Let the request that waits longest go on.
+        """Let the request that has waited longest pass its gate.
 
         :param lose: lose the request, or its answer if it took effect.
         """
@@ -53,14 +53,14 @@
         after: str = '',
         limit: int = 1000,
     ) -> Result[list[Row], StoreFault]:
-        """Read rows in the order of their keys."""
+        """Read rows in key order."""
         return await self._pass(partial(self._store.scan, prefix, after, limit))
 
     async def transact(
         self,
         transaction: Transaction,
     ) -> Result[TransactionResult, StoreFault]:
-        """Write rows together."""
+        """Write rows atomically."""
         return await self._pass(partial(self._store.transact, transaction))
 
     async def _pass(self, request: Callable[[], Awaitable[Any]]) -> Any:
@@ -78,12 +78,13 @@
 
 
 class SlowTable:
-    """One process's way to a store: slow, and sometimes without an answer.
+    """Slow access of one process to a store; some requests time out.
 
-    :param store: the store that all processes share.
+    :param store: store that all processes share.
     :param timeout: seconds after which a request counts as unanswered; it
-        may still take effect later.
-    :param pause: seconds to wait before and after the effect.
+        may still be applied later.
+    :param pause: returns the seconds to wait before and after the request is
+        applied.
     """
 
     def __init__(
@@ -107,14 +108,14 @@
         after: str = '',
         limit: int = 1000,
     ) -> Result[list[Row], StoreFault]:
-        """Read rows in the order of their keys."""
+        """Read rows in key order."""
         return await self._pass(lambda: self._store.scan(prefix, after, limit))
 
     async def transact(
         self,
         transaction: Transaction,
     ) -> Result[TransactionResult, StoreFault]:
-        """Write rows together."""
+        """Write rows atomically."""
         return await self._pass(lambda: self._store.transact(transaction))
 
     async def _pass(self, request: Callable[[], Awaitable[Any]]) -> Any:
@@ -134,9 +135,9 @@
 
 
 def draw_pause(source: random.Random, longest: float) -> float:
-    """Draw a wait that is mostly short and sometimes long.
+    """Draw a pause that is mostly short and sometimes long.
 
-    :param longest: longest wait in seconds.
+    :param longest: longest pause in seconds.
     """
     if source.random() < 0.05:
         return source.uniform(0, longest)
--- a/quetzalcourse/tests/peers.py
+++ b/quetzalcourse/tests/peers.py
@@ -1,4 +1,4 @@
-"""Daemons' messages and members in memory, with cuts, for tests."""
+"""In-memory peer network and member lists, with partitions, for tests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class FakeNetwork:
-    """Carries messages between fake peers and loses those across a cut."""
+    """Delivers messages between fake peers, except across partitions."""
 
     def __init__(self) -> None:
-        """Begin without daemons and without cuts."""
+        """Create a network without daemons and partitions."""
         self.peers: dict[str, FakePeers] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.sent: list[tuple[str, str, Topic, int]] = []
@@ -27,15 +27,15 @@
         return peers
 
     def leave(self, member: Member) -> None:
-        """Lose a daemon, as its death does."""
+        """Remove a daemon, as after a crash."""
         self.peers.pop(member.incarnation, None)
 
     def cut(self, sender: Member, receiver: Member) -> None:
-        """Lose every message from one daemon to another."""
+        """Drop all messages from one daemon to another."""
         self.cuts.add((sender.incarnation, receiver.incarnation))
 
     def heal(self) -> None:
-        """Lose no message any more."""
+        """End all partitions."""
         self.cuts.clear()
 
     def carry(
@@ -45,7 +45,7 @@
         topic: Topic,
         content: bytes,
     ) -> None:
-        """Hand a message over in a later step of the loop."""
+        """Deliver a message in a later iteration of the event loop."""
         pair = (sender.incarnation, receiver.incarnation)
         self.sent.append((*pair, topic, len(content)))
         target = self.peers.get(receiver.incarnation)
@@ -58,10 +58,10 @@
 
 
 class FakePeers:
-    """One daemon's end of the fake network."""
+    """Endpoint of one daemon in the fake network."""
 
     def __init__(self, network: FakeNetwork, own: Member) -> None:
-        """Begin without handlers."""
+        """Create the endpoint without handlers."""
         self.handlers: dict[Topic, Callable[[Member, bytes], None]] = {}
         self._network = network
         self._own = own
@@ -75,15 +75,15 @@
         topic: Topic,
         receive: Callable[[Member, bytes], None],
     ) -> None:
-        """Hand the messages of a topic to a handler."""
+        """Register the handler of a topic."""
         self.handlers[topic] = receive
 
 
 class FakeMembers:
-    """List of live daemons that a test changes at will."""
+    """List of live daemons that a test sets."""
 
     def __init__(self, own: Member, live: list[Member]) -> None:
-        """Begin with a list."""
+        """Start with a list of live daemons."""
         self.own = own
         self._live = live
         self._listeners: list[Callable[[], None]] = []
@@ -100,11 +100,11 @@
         )
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener with every change."""
+        """Register a listener for changes."""
         self._listeners.append(listener)
 
     def change(self, live: list[Member]) -> None:
-        """Replace the list."""
+        """Replace the list and notify listeners."""
         self._live = live
         for listener in self._listeners:
             listener()
--- a/quetzalcourse/tests/slots.py
+++ b/quetzalcourse/tests/slots.py
@@ -1,4 +1,4 @@
-"""Daemons that share upstreams in memory, with faults, for tests."""
+"""In-memory daemons that share upstreams, with faults, for tests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_upstream(name: str = 'engine', **changes: object) -> Upstream:
-    """Make an upstream of four slots."""
+    """Build an upstream with four slots."""
     fields = {
         'name': name,
         'kind': UpstreamKind.engine,
@@ -40,13 +40,13 @@
 
 
 def make_manifest(*upstreams: Upstream, **sections: object) -> Manifest:
-    """Make a manifest with upstreams."""
+    """Build a manifest with upstreams."""
     fields = {upstream.name: upstream for upstream in upstreams}
     return Manifest(1, upstreams=fields, **sections)  # type: ignore[arg-type]
 
 
 class SimulatedDaemon:
-    """Daemon whose requests run until they are told to end."""
+    """Daemon whose requests run until they are released or revoked."""
 
     def __init__(self, member: Member, network: PausableNetwork) -> None:
         """Join the network."""
@@ -62,7 +62,7 @@
         self.policy.on_start()
 
     def follow(self, manifest: Manifest, live: list[Member]) -> None:
-        """Take a manifest and a list of live daemons."""
+        """Apply a manifest and a list of live daemons."""
         self.members.change(live)
         self.link.on_manifest(manifest)
         self.admission.on_manifest(manifest)
@@ -74,7 +74,7 @@
         account: str = 'reader',
         patience: timedelta = ONE_DAY,
     ) -> asyncio.Task[None]:
-        """Begin a request."""
+        """Start a request."""
         request = SlotRequest(
             account,
             traffic_class,
@@ -87,16 +87,16 @@
         return task
 
     def release_oldest(self, tokens: int = 1) -> None:
-        """End the oldest request that runs."""
+        """Release the grant of the oldest running request."""
         if self.grants:
             self.admission.release(self.grants.pop(0), tokens)
 
     def count(self, traffic_class: TrafficClass) -> int:
-        """Count the requests of a class that run."""
+        """Count the running requests of a class."""
         return sum(one.traffic_class is traffic_class for one in self.grants)
 
     async def stop(self) -> None:
-        """End it as a death does: nothing is released or said."""
+        """Stop as a crash does: nothing is released and no message is sent."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -114,10 +114,10 @@
 
 
 class PausableNetwork(FakeNetwork):
-    """Network that keeps the messages of paused daemons for later."""
+    """Network that buffers the messages to paused daemons."""
 
     def __init__(self) -> None:
-        """Begin with no daemon paused."""
+        """Start without paused daemons."""
         super().__init__()
         self.paused: dict[str, list[tuple[Member, Topic, bytes]]] = {}
 
@@ -128,7 +128,7 @@
         topic: Topic,
         content: bytes,
     ) -> None:
-        """Hand a message over, or keep it."""
+        """Deliver a message, or buffer it."""
         buffered = self.paused.get(receiver.incarnation)
         if buffered is not None:
             buffered.append((sender, topic, content))
@@ -136,17 +136,17 @@
         super().carry(sender, receiver, topic, content)
 
     def resume(self, member: Member) -> None:
-        """Hand over what came during a pause."""
+        """Deliver the messages that arrived during a pause."""
         handlers = self.peers[member.incarnation].handlers
         for sender, topic, content in self.paused.pop(member.incarnation):
             handlers[topic](sender, content)
 
 
 class Deployment:
-    """Daemons of one data centre, and how their time passes."""
+    """Daemons of one data centre on fake clocks."""
 
     def __init__(self, daemon_count: int, manifest: Manifest) -> None:
-        """Begin with daemons that know one another."""
+        """Start daemons that know one another."""
         self.network = PausableNetwork()
         self.manifest = manifest
         self.daemons: list[SimulatedDaemon] = []
@@ -156,7 +156,7 @@
         self.update_membership()
 
     def update_membership(self) -> None:
-        """Tell every daemon which ones are live."""
+        """Give every daemon the list of live daemons."""
         live = [daemon.member for daemon in self.daemons]
         for daemon in self.daemons:
             daemon.follow(self.manifest, live)
@@ -167,14 +167,14 @@
         self.update_membership()
 
     async def kill(self, daemon: SimulatedDaemon) -> None:
-        """Kill a daemon; its requests end with it."""
+        """Kill a daemon together with its requests."""
         self.daemons.remove(daemon)
         self.network.leave(daemon.member)
         await daemon.stop()
         self.update_membership()
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass, in which a paused daemon does nothing."""
+        """Advance the clocks; tasks of paused daemons do not run."""
         remaining = seconds
         while remaining > 0:
             step = timedelta(seconds=min(remaining, 0.25))
@@ -187,14 +187,14 @@
         await settle()
 
     def count(self, traffic_class: TrafficClass | None = None) -> int:
-        """Count the requests that run."""
+        """Count the running requests."""
         classes = [traffic_class] if traffic_class else list(TrafficClass)
         return sum(
             daemon.count(one) for daemon in self.daemons for one in classes
         )
 
     async def stop(self) -> None:
-        """End every daemon."""
+        """Stop every daemon."""
         for daemon in self.daemons:
             await daemon.stop()
 
--- a/quetzalcourse/tests/step_schedules.py
+++ b/quetzalcourse/tests/step_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults for one step."""
+"""Seeded fault schedules for one step."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleOutcome:
-    """What came of a schedule.
+    """Result of a schedule.
 
-    :param faults: everything that must never happen but did.
+    :param faults: violated invariants.
     :param dropped: samples that were too old when they were read.
     """
 
@@ -42,13 +42,13 @@
 
 
 class Schedule:
-    """Faults that come at random moments while a step runs.
+    """Faults injected at random times while a step runs.
 
-    :param seed: decides which come, and when.
+    :param seed: determines the faults and their times.
     """
 
     def __init__(self, seed: int) -> None:
-        """Build the world."""
+        """Build the simulation."""
         self.log: list[str] = []
         self._simulation = StepSimulation(
             seed,
@@ -70,7 +70,7 @@
         )
 
     async def run(self) -> ScheduleOutcome:
-        """Run the step with its faults, and say what came of it."""
+        """Run the step with its faults and return the result."""
         simulation = self._simulation
         for _ in range(3):
             simulation.start_daemon()
--- a/quetzalcourse/tests/step_simulation.py
+++ b/quetzalcourse/tests/step_simulation.py
@@ -1,4 +1,4 @@
-"""Daemons, a trainer and faults around one store, on virtual time."""
+"""Simulation of daemons, a trainer and faults on virtual time."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 
 class FakePlatform(FakeStore):
-    """Store, weight store and scoring service with faults.
+    """Store, weight store and scoring service with fault injection.
 
-    :ivar published: when each weight version came out.
+    :ivar published: publication time and number of each weight version.
     """
 
     def __init__(self) -> None:
-        """Begin with version one."""
+        """Start with version 1."""
         super().__init__()
         self.published: list[tuple[float, int]] = [(0.0, 1)]
         self.weights_down = False
@@ -53,7 +53,7 @@
         self.scoring_faults: list[FaultKind] = []
 
     async def newest(self, model: str) -> Result[int, StoreFault]:
-        """Tell the newest version."""
+        """Return the newest version."""
         if self.down or self.weights_down:
             return Err(make_fault(FaultKind.not_applied))
         return Ok(self.published[-1][1])
@@ -61,7 +61,7 @@
     async def score(
         self, sample_id: str, text: str
     ) -> Result[float, FaultKind]:
-        """Score by the length of the text."""
+        """Return the length of the text as its score."""
         fault = self.scoring_faults.pop() if self.scoring_faults else None
         if fault is FaultKind.not_applied:
             return Err(fault)
@@ -75,7 +75,7 @@
         return version
 
     def find_newest_at(self, moment: float) -> int:
-        """Tell the newest version as it was at a moment."""
+        """Return the version that was newest at a loop time."""
         return max(
             (version for at, version in self.published if at <= moment),
             default=1,
@@ -83,20 +83,20 @@
 
 
 class DaemonLink:
-    """One daemon's way to the platform, which can be cut or held.
+    """Connection of one daemon to the platform, which can be blocked.
 
-    :param latency: seconds that a request takes.
+    :param latency: latency of a request in seconds.
     """
 
     def __init__(self, platform: FakePlatform, latency: float) -> None:
-        """Begin connected."""
+        """Start connected."""
         self._platform = platform
         self._latency = latency
         self.open = asyncio.Event()
         self.open.set()
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Pass a request on once the link is open."""
+        """Forward a request once the link is open."""
         call = getattr(self._platform, name)
 
         async def pass_on(*args: Any) -> Any:
@@ -109,7 +109,7 @@
 
 @dataclass(eq=False)
 class FakeDaemon:
-    """One daemon's steps with its link."""
+    """Step service of one daemon with its link."""
 
     member: Member
     link: DaemonLink
@@ -120,9 +120,9 @@
 
 @dataclass(eq=False)
 class StepSimulation:
-    """Everything around the steps.
+    """Simulation of daemons, engines and the platform around steps.
 
-    :param seed: decides everything that is left to chance.
+    :param seed: seed of all random choices.
     """
 
     seed: int
@@ -136,7 +136,7 @@
     started: int = 0
 
     def __post_init__(self) -> None:
-        """Prepare generation and chance."""
+        """Create the generation and the random source."""
         self.random = random.Random(self.seed)
         self.generation = ScriptedGeneration(
             self.engines, self.plan_length, self.chunk_tokens
@@ -147,7 +147,7 @@
     def start_daemon(self, **changes: Any) -> FakeDaemon:
         """Start a daemon.
 
-        :param changes: parts of dispatch that differ.
+        :param changes: parts of dispatch that replace the defaults.
         """
         self.started += 1
         name = f'daemon-{self.started}'
@@ -176,7 +176,7 @@
         return daemon
 
     def kill(self, daemon: FakeDaemon) -> None:
-        """Let a daemon die: its streams end and it writes nothing more."""
+        """Kill a daemon: its streams end and it writes nothing more."""
         daemon.link.open.clear()
         daemon.scan.cancel()
         self.daemons.remove(daemon)
@@ -192,7 +192,7 @@
             await daemon.steps.stop()
 
     def count(self, name: str, **labels: str) -> float:
-        """Add a count up over every daemon that ever ran."""
+        """Sum a counter over all daemons that ever ran."""
         return sum(one.read(name, **labels) for one in self.counters)
 
     def _update_membership(self) -> None:
@@ -222,18 +222,18 @@
 
 
 def list_prompts(spec: StepSpec) -> tuple[str, ...]:
-    """Give a step's groups their prompts."""
+    """Return a prompt for each group of a step."""
     return tuple(f'prompt-{group}' for group in range(spec.groups))
 
 
 class FakeTrainer:
-    """Reads a step from whichever daemon, and checks what it is given.
+    """Reads a step from random daemons and checks the batches.
 
-    :ivar faults: everything that must never happen but did.
+    :ivar faults: violated invariants.
     """
 
     def __init__(self, simulation: StepSimulation, spec: StepSpec) -> None:
-        """Begin at the first batch."""
+        """Start at the first batch."""
         self.samples: dict[tuple[int, int], Sample] = {}
         self.faults: list[str] = []
         self.ages: list[int] = []
@@ -243,7 +243,7 @@
         self._cursor = 0
 
     async def run(self, limit: float = 3000.0, poll: float = 1.0) -> None:
-        """Create the step and read until it is whole.
+        """Create the step and read until it is complete.
 
         :param limit: seconds after which samples count as lost.
         """
@@ -345,5 +345,5 @@
 
 
 def read_versions(text: str) -> list[int]:
-    """Read from a text which version made each token."""
+    """Return the weight version that generated each token of a text."""
     return [int(token.partition('@')[2]) for token in text.split()]
--- a/quetzalcourse/tests/tables.py
+++ b/quetzalcourse/tests/tables.py
@@ -1,4 +1,4 @@
-"""The platform's table and objects in memory, with faults, for tests."""
+"""In-memory table and object store of the platform, with faults, for tests."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class FakeStore:
-    """Table and object store whose faults a test switches.
+    """Table and object store with fault injection.
 
     Each entry of ``write_faults`` decides one of the next writes:
-    ``not_applied``, ``lost_before`` (no answer, no effect), ``lost_after``
-    (effect, but no answer), or ``''`` for none.
+    ``not_applied``, ``lost_before`` (not applied, no answer), ``lost_after``
+    (applied, but no answer), or ``''`` for no fault.
     """
 
     def __init__(self) -> None:
-        """Begin empty and healthy."""
+        """Create an empty store without faults."""
         self.down = False
         self.write_faults: deque[str] = deque()
         self.reads = 0
@@ -51,7 +51,7 @@
         after: str = '',
         limit: int = 1000,
     ) -> Result[list[Row], StoreFault]:
-        """Read rows in the order of their keys."""
+        """Read rows in key order."""
         self.reads += 1
         if self.down:
             return Err(make_fault(FaultKind.not_applied))
@@ -62,7 +62,7 @@
         self,
         transaction: Transaction,
     ) -> Result[TransactionResult, StoreFault]:
-        """Write rows together, with the next fault if there is one."""
+        """Write rows atomically, with the next fault if there is one."""
         self.writes += 1
         fault = self.write_faults.popleft() if self.write_faults else ''
         if self.down or fault == 'not_applied':
@@ -102,5 +102,5 @@
 
 
 def make_fault(kind: FaultKind) -> StoreFault:
-    """Make a fault of the fake store."""
+    """Build a fault of the fake store."""
     return StoreFault(kind, 'test', 'fake store')
--- a/quetzalcourse/tests/usage_simulation.py
+++ b/quetzalcourse/tests/usage_simulation.py
@@ -1,4 +1,4 @@
-"""Daemons that count, copy, store and report usage on virtual time."""
+"""Simulation of daemons that count, replicate and report usage."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """A report as billing took it."""
+    """Report as billing received it."""
 
     time: float
     sender: str
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class FakeBilling:
-    """Takes reports, sometimes late and sometimes without an answer."""
+    """Receives reports, some late and some without an answer."""
 
     source: random.Random
     received: list[ReceivedReport] = field(default_factory=list)
@@ -72,7 +72,7 @@
         report: FrozenReport,
         may_send: Callable[[], bool],
     ) -> Result[None, OrderProblem]:
-        """Take a report if its sender still may send it."""
+        """Receive a report if its sender still may send it."""
         await asyncio.sleep(draw_pause(self.source, 3))
         if not may_send():
             return Err(OrderProblem.not_sent)
@@ -88,7 +88,7 @@
 
 
 class BillingClient:
-    """One daemon's way to billing."""
+    """Connection of one daemon to billing."""
 
     def __init__(self, billing: FakeBilling, sender: str) -> None:
         self._billing = billing
@@ -104,7 +104,7 @@
 
 
 class Daemon:
-    """The parts of a daemon that deal with usage."""
+    """Usage components of a daemon."""
 
     def __init__(self, simulation: UsageSimulation, name: str) -> None:
         self.member = Member(name, f'{name}-1', f'hall-{name[-1]}', '')
@@ -152,13 +152,13 @@
         ]
 
     def end(self) -> None:
-        """End as a killed process does."""
+        """Stop as a killed process does."""
         for task in self.tasks:
             task.cancel()
 
 
 class UsageSimulation:
-    """Store, billing and daemons, with what was counted by whom."""
+    """Store, billing and daemons, with the usage counted at each."""
 
     def __init__(
         self,
@@ -189,7 +189,7 @@
         return daemon
 
     def kill(self, name: str) -> None:
-        """Kill a daemon; the others notice after a while."""
+        """Kill a daemon; the others detect it after a while."""
         daemon = self.daemons.pop(name)
         daemon.end()
         self.network.leave(daemon.member)
@@ -205,7 +205,7 @@
         )
 
     async def stop(self, name: str) -> None:
-        """Stop a daemon in good order."""
+        """Shut a daemon down gracefully."""
         daemon = self.daemons.pop(name)
         daemon.end()
         await daemon.replicator.flush()
@@ -216,7 +216,7 @@
         self.update_membership()
 
     def update_membership(self) -> None:
-        """Let every daemon know who is live."""
+        """Give every daemon the list of live daemons."""
         live = [daemon.member for daemon in self.daemons.values()]
         for daemon in self.daemons.values():
             daemon.members.change(live)
@@ -233,7 +233,7 @@
         self._recent[name].append((now, tokens))
 
     def sum_reported(self) -> int:
-        """Sum the generated tokens over each window's report once."""
+        """Sum the generated tokens, each window's report once."""
         reports = {
             received.window: msgspec.json.decode(
                 received.content, type=UsageReportContent
@@ -251,7 +251,7 @@
         return sum(entry.figures.generated_tokens for entry in entries)
 
     def count_conflicts(self) -> int:
-        """Count windows that were reported with different figures."""
+        """Count windows reported with different figures."""
         contents_by_window: dict[str, set[bytes]] = {}
         for received in self.billing.received:
             contents_by_window.setdefault(received.window, set()).add(
