--- a/quetzalcourse/standins/rollout/store.py
+++ b/quetzalcourse/standins/rollout/store.py
@@ -298,7 +298,9 @@
     ) -> None:
         now = (time.monotonic() - self._started) * 1000 + 1
         message = {'ver': self.content.version, 'now_ms': now} | content
-        await send_response(request, json.dumps(message).encode(), status=status)
+        await send_response(
+            request, json.dumps(message).encode(), status=status
+        )
 
 
 async def apply_fault(faults: StoreFaults, request: Request) -> bool:
