--- a/quetzalcourse/standins/rollout/documents.py
+++ b/quetzalcourse/standins/rollout/documents.py
@@ -1,4 +1,4 @@
-"""Documents that the platform and its operators write, as tests need them."""
+"""Sample documents of the platform and its operators, for tests."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 HOST = 'verse.example'
 # Data centre of the first servers.
-HALL = 'hall-a'
+DATA_CENTRE = 'hall-a'
 MODEL = 'verse'
 ENGINES = 'verse-models'
 CATALOGUE = 'catalogue-app'
 BATCH_PREFIX = '/drill/'
 LOOKUP_PREFIX = '/lookup/'
-ONCE_PREFIX = '/once/'
+NON_IDEMPOTENT_PREFIX = '/once/'
 PUBLIC_PREFIX = '/open/'
 STREAM_PREFIX = '/stream/'
-BOUND_PREFIX = '/bound/'
+NON_RESUMABLE_PREFIX = '/bound/'
 SCORING_PREFIX = '/scoring/'
 KEY = 'key-of-the-desk'
-# Requests a second that a server bears for some seconds after its start.
+# Requests a second that a server can take during its cold start.
 COLD_SECONDS = 2.0
 COLD_RATE = 9
 OTHER_KEY = 'key-of-another'
 ACCOUNT = 'desk'
 OTHER_ACCOUNT = 'another'
-# Below the range of outgoing connections.
-PORTS = (15_000, 32_000)
-# Ports that were given to daemons, which may not listen there yet.
-GIVEN_PORTS: set[int] = set()
+# Below the range of ephemeral ports.
+PORT_RANGE = (15_000, 32_000)
+# Ports assigned to daemons, which may not listen on them yet.
+ALLOCATED_PORTS: set[int] = set()
 
 
 def build_route(prefix: str, kind: str, **changes: Any) -> dict[str, Any]:
-    """Write a route."""
+    """Build a route."""
     route: dict[str, Any] = {
         'name': f'r-{prefix.strip("/")}',
         'hostname': HOST,
@@ -50,12 +50,12 @@
 
 
 def build_config(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Write a desired state with a route of each kind."""
+    """Build a configuration with a route of each kind."""
     config: dict[str, Any] = {
         'version': version,
         'routes': [
             build_route(LOOKUP_PREFIX, 'idempotent'),
-            build_route(ONCE_PREFIX, 'non_idempotent'),
+            build_route(NON_IDEMPOTENT_PREFIX, 'non_idempotent'),
             build_route(SCORING_PREFIX, 'idempotent'),
             build_route(PUBLIC_PREFIX, 'idempotent', public=True),
             build_route(
@@ -67,7 +67,7 @@
                 max_attempts=3,
             ),
             build_route(
-                BOUND_PREFIX,
+                NON_RESUMABLE_PREFIX,
                 'non_idempotent',
                 service=ENGINES,
                 streaming=True,
@@ -113,23 +113,23 @@
     return config | changes
 
 
-# Length of a window of usage in seconds.
+# Length of a usage window.
 WINDOW_SECONDS = 2
 
 
-def find_ports(count: int) -> list[int]:
-    """Find ports of loopback that are free and stay so.
+def allocate_ports(count: int) -> list[int]:
+    """Allocate loopback ports that stay free until the daemon listens.
 
-    The system gives outgoing connections ports of its own range; a port of
-    that range may be taken between this search and the daemon's start.
+    The kernel gives outgoing connections ephemeral ports; a port of that range
+    could be taken between this check and the daemon's start.
     """
     found: list[int] = []
     while len(found) < count:
-        port = random.randrange(*PORTS)
+        port = random.randrange(*PORT_RANGE)
         with socket.socket() as probe:
             taken = probe.connect_ex(('127.0.0.1', port)) == 0
-        if not taken and port not in GIVEN_PORTS:
-            GIVEN_PORTS.add(port)
+        if not taken and port not in ALLOCATED_PORTS:
+            ALLOCATED_PORTS.add(port)
             found.append(port)
     return found
 
@@ -141,8 +141,8 @@
     zone: str = 'hall-a',
     regions: dict[str, str] | None = None,
 ) -> dict[str, Any]:
-    """Write the settings file of a daemon on free ports of loopback."""
-    front, ready, peers, metrics = find_ports(4)
+    """Build the settings of a daemon on free loopback ports."""
+    front, ready, peers, metrics = allocate_ports(4)
     return {
         'node_name': name,
         'ip': '127.0.0.1',
--- a/quetzalcourse/tests/rollout/streams_tests.py
+++ b/quetzalcourse/tests/rollout/streams_tests.py
@@ -1,4 +1,4 @@
-"""Streams of events through a daemon, whole and broken."""
+"""Event streams through a daemon, complete and interrupted."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from quetzalcourse.standins.rollout.upstream import count_events, write_event
 
 if TYPE_CHECKING:
-    from quetzalcourse.standins.rollout.world import Reply, RolloutWorld
+    from quetzalcourse.standins.rollout.cluster import Reply, RolloutCluster
 
 STREAM = documents.STREAM_PREFIX
-BOUND = documents.BOUND_PREFIX
+BOUND = documents.NON_RESUMABLE_PREFIX
 LONG = next(
     name
     for name in (f's-{number}' for number in range(100))
@@ -23,20 +23,22 @@
 
 
 def write_stream(request_id: str, after: int = 0) -> bytes:
-    """Write all events of a stream."""
+    """Build the events of a stream behind an event."""
     return ''.join(
         f'id: {number}\ndata: {write_event(request_id, number)}\n\n'
         for number in range(after + 1, count_events(request_id) + 1)
     ).encode()
 
 
-async def stream(world: RolloutWorld, prefix: str, after: str = '') -> Reply:
-    """Ask for a long stream."""
+async def stream(
+    cluster: RolloutCluster, prefix: str, after: str = ''
+) -> Reply:
+    """Request a long stream."""
     headers = {'X-Model': documents.MODEL, 'X-Token-Counts': '8,8'}
     if after:
         headers['Last-Event-Id'] = after
-    return await world.caller.call(
-        world.address(),
+    return await cluster.caller.call(
+        cluster.address(),
         'POST',
         prefix,
         b'salt',
@@ -47,38 +49,40 @@
 
 @pytest.mark.parametrize('prefix', [STREAM, BOUND])
 async def test_stream_is_passed_on_whole(
-    world: RolloutWorld,
+    cluster: RolloutCluster,
     prefix: str,
 ) -> None:
-    """With the headers of its server."""
-    reply = await stream(world, prefix)
+    """Guards against missing events or missing headers of the server."""
+    reply = await stream(cluster, prefix)
     assert reply.body == write_stream(LONG)
     assert reply.headers['X-Weight-Versions'] == '1'
 
 
-async def test_caller_resumes_its_stream(world: RolloutWorld) -> None:
-    """The server goes on behind the event that the caller names."""
-    reply = await stream(world, STREAM, after='5')
+async def test_caller_resumes_its_stream(cluster: RolloutCluster) -> None:
+    """Guards against a resumption that ignores the last event id."""
+    reply = await stream(cluster, STREAM, after='5')
     assert reply.body == write_stream(LONG, 5)
 
 
-async def test_broken_stream_goes_on_within_one_answer(
-    world: RolloutWorld,
+async def test_interrupted_stream_is_resumed_within_one_answer(
+    cluster: RolloutCluster,
 ) -> None:
-    # A server cuts a stream that may be resumed. The caller notices no more
-    # than a pause: no event is missing and none comes twice.
-    for engine in world.engines:
-        engine.faults.cuts, engine.faults.cut_after = 1, 4
-    world.engines[1].faults.cut_after = 9
-    reply = await stream(world, STREAM)
+    # Guards against missing or repeated events when a server aborts a
+    # resumable stream; the caller sees no more than a pause.
+    for engine in cluster.engines:
+        engine.faults.stream_cuts, engine.faults.cut_after = 1, 4
+    cluster.engines[1].faults.cut_after = 9
+    reply = await stream(cluster, STREAM)
     assert reply.body == write_stream(LONG)
 
 
-async def test_broken_stream_never_looks_whole(world: RolloutWorld) -> None:
-    # A server cuts a stream that must not be resumed. A caller that took
-    # what came for the whole would lose the rest.
-    for engine in world.engines:
-        engine.faults.cuts, engine.faults.cut_after = 1, 4
+async def test_interrupted_stream_never_looks_complete(
+    cluster: RolloutCluster,
+) -> None:
+    # Guards against a normal end of the answer when a server aborts a stream
+    # that must not be resumed: the caller would lose the rest unnoticed.
+    for engine in cluster.engines:
+        engine.faults.stream_cuts, engine.faults.cut_after = 1, 4
     with pytest.raises(aiohttp.ClientError):
-        await stream(world, BOUND)
-    assert sum(len(engine.runs) for engine in world.engines) == 1
+        await stream(cluster, BOUND)
+    assert sum(len(engine.runs) for engine in cluster.engines) == 1
--- a/quetzalcourse/tests/slots.py
+++ b/quetzalcourse/tests/slots.py
@@ -1,4 +1,4 @@
-"""Daemons that share upstreams in memory, with faults, for tests."""
+"""In-memory daemons that share upstreams, with faults, for tests."""
 
 from __future__ import annotations
 
@@ -23,47 +23,47 @@
     from collections.abc import Iterable
 
 DATA_CENTRE = 'brest-b'
-LONG = timedelta(days=1)
+ONE_DAY = timedelta(days=1)
 ZERO = timedelta(0)
 
 
 def make_upstream(name: str = 'engine', **changes: object) -> Upstream:
-    """Make an upstream of four slots."""
-    known = {
+    """Build an upstream with four slots."""
+    fields = {
         'name': name,
         'kind': UpstreamKind.engine,
         'data_centre': DATA_CENTRE,
         'address': '127.0.0.1:1',
         'slots': 4,
     }
-    return Upstream(**(known | changes))  # type: ignore[arg-type]
+    return Upstream(**(fields | changes))  # type: ignore[arg-type]
 
 
 def make_manifest(*upstreams: Upstream, **sections: object) -> Manifest:
-    """Make a manifest with upstreams."""
-    known = {upstream.name: upstream for upstream in upstreams}
-    return Manifest(1, upstreams=known, **sections)  # type: ignore[arg-type]
+    """Build a manifest with upstreams."""
+    fields = {upstream.name: upstream for upstream in upstreams}
+    return Manifest(1, upstreams=fields, **sections)  # type: ignore[arg-type]
 
 
-class Holder:
-    """Daemon whose requests run until they are told to end."""
+class SimulatedDaemon:
+    """Daemon whose requests run until they are released or revoked."""
 
-    def __init__(self, member: Member, network: HeldNetwork) -> None:
+    def __init__(self, member: Member, network: PausableNetwork) -> None:
         """Join the network."""
         self.member = member
         self.clock = FakeClock()
         self.counters = Counters()
-        self.view = FakeMembers(member, [member])
+        self.members = FakeMembers(member, [member])
         self.link = PeerSlotLink(network.join(member), self.counters)
-        self.policy = DistributedSlotPolicy(self.view, self.link, self.clock)
+        self.policy = DistributedSlotPolicy(self.members, self.link, self.clock)
         self.admission = Admission(self.clock, self.policy, self.counters)
         self.grants: list[Grant] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.policy.on_start()
 
     def follow(self, manifest: Manifest, live: list[Member]) -> None:
-        """Take a manifest and a list of live daemons."""
-        self.view.change(live)
+        """Apply a manifest and a list of live daemons."""
+        self.members.change(live)
         self.link.on_manifest(manifest)
         self.admission.on_manifest(manifest)
 
@@ -72,9 +72,9 @@
         traffic_class: TrafficClass,
         candidates: Iterable[str] = ('engine',),
         account: str = 'reader',
-        patience: timedelta = LONG,
+        patience: timedelta = ONE_DAY,
     ) -> asyncio.Task[None]:
-        """Begin a request."""
+        """Start a request."""
         request = SlotRequest(
             account,
             traffic_class,
@@ -86,17 +86,17 @@
         self.tasks.append(task)
         return task
 
-    def end_one(self, tokens: int = 1) -> None:
-        """End the oldest request that runs."""
+    def release_oldest(self, tokens: int = 1) -> None:
+        """Release the grant of the oldest running request."""
         if self.grants:
             self.admission.release(self.grants.pop(0), tokens)
 
     def count(self, traffic_class: TrafficClass) -> int:
-        """Count the requests of a class that run."""
+        """Count the running requests of a class."""
         return sum(one.traffic_class is traffic_class for one in self.grants)
 
     async def stop(self) -> None:
-        """End it as a death does: nothing is released or said."""
+        """Stop as a crash does: nothing is released and no message is sent."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -113,11 +113,11 @@
             self.admission.release(grant)
 
 
-class HeldNetwork(FakeNetwork):
-    """Network that keeps the messages of paused daemons for later."""
+class PausableNetwork(FakeNetwork):
+    """Network that buffers the messages to paused daemons."""
 
     def __init__(self) -> None:
-        """Begin with no daemon paused."""
+        """Start without paused daemons."""
         super().__init__()
         self.paused: dict[str, list[tuple[Member, Topic, bytes]]] = {}
 
@@ -128,78 +128,78 @@
         topic: Topic,
         content: bytes,
     ) -> None:
-        """Hand a message over, or keep it."""
-        kept = self.paused.get(receiver.incarnation)
-        if kept is not None:
-            kept.append((sender, topic, content))
+        """Deliver a message, or buffer it."""
+        buffered = self.paused.get(receiver.incarnation)
+        if buffered is not None:
+            buffered.append((sender, topic, content))
             return
         super().carry(sender, receiver, topic, content)
 
     def resume(self, member: Member) -> None:
-        """Hand over what came during a pause."""
+        """Deliver the messages that arrived during a pause."""
         handlers = self.peers[member.incarnation].handlers
         for sender, topic, content in self.paused.pop(member.incarnation):
             handlers[topic](sender, content)
 
 
 class Deployment:
-    """Daemons of one data centre, and how their time passes."""
+    """Daemons of one data centre on fake clocks."""
 
-    def __init__(self, daemons: int, manifest: Manifest) -> None:
-        """Begin with daemons that know one another."""
-        self.network = HeldNetwork()
+    def __init__(self, daemon_count: int, manifest: Manifest) -> None:
+        """Start daemons that know one another."""
+        self.network = PausableNetwork()
         self.manifest = manifest
-        self.holders: list[Holder] = []
+        self.daemons: list[SimulatedDaemon] = []
         self._joined = 0
-        for _ in range(daemons):
+        for _ in range(daemon_count):
             self._add()
-        self.agree()
+        self.update_membership()
 
-    def agree(self) -> None:
-        """Tell every daemon which ones are live."""
-        live = [holder.member for holder in self.holders]
-        for holder in self.holders:
-            holder.follow(self.manifest, live)
+    def update_membership(self) -> None:
+        """Give every daemon the list of live daemons."""
+        live = [daemon.member for daemon in self.daemons]
+        for daemon in self.daemons:
+            daemon.follow(self.manifest, live)
 
     def join(self) -> None:
         """Start one more daemon."""
         self._add()
-        self.agree()
+        self.update_membership()
 
-    async def kill(self, holder: Holder) -> None:
-        """Kill a daemon; its requests end with it."""
-        self.holders.remove(holder)
-        self.network.leave(holder.member)
-        await holder.stop()
-        self.agree()
+    async def kill(self, daemon: SimulatedDaemon) -> None:
+        """Kill a daemon together with its requests."""
+        self.daemons.remove(daemon)
+        self.network.leave(daemon.member)
+        await daemon.stop()
+        self.update_membership()
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass, in which a paused daemon does nothing."""
-        left = seconds
-        while left > 0:
-            step = timedelta(seconds=min(left, 0.25))
-            for holder in tuple(self.holders):
-                if holder.member.incarnation in self.network.paused:
-                    holder.clock.move(step)
+        """Advance the clocks; tasks of paused daemons do not run."""
+        remaining = seconds
+        while remaining > 0:
+            step = timedelta(seconds=min(remaining, 0.25))
+            for daemon in tuple(self.daemons):
+                if daemon.member.incarnation in self.network.paused:
+                    daemon.clock.move(step)
                 else:
-                    await holder.clock.advance(step)
-            left -= 0.25
+                    await daemon.clock.advance(step)
+            remaining -= 0.25
         await settle()
 
     def count(self, traffic_class: TrafficClass | None = None) -> int:
-        """Count the requests that run."""
+        """Count the running requests."""
         classes = [traffic_class] if traffic_class else list(TrafficClass)
         return sum(
-            holder.count(one) for holder in self.holders for one in classes
+            daemon.count(one) for daemon in self.daemons for one in classes
         )
 
     async def stop(self) -> None:
-        """End every daemon."""
-        for holder in self.holders:
-            await holder.stop()
+        """Stop every daemon."""
+        for daemon in self.daemons:
+            await daemon.stop()
 
     def _add(self) -> None:
         self._joined += 1
         name = f'vm-{self._joined}'
         member = Member(name, name, DATA_CENTRE, name)
-        self.holders.append(Holder(member, self.network))
+        self.daemons.append(SimulatedDaemon(member, self.network))
--- a/quetzalcourse/tests/step_world.py
+++ b/quetzalcourse/tests/step_simulation.py
@@ -1,4 +1,4 @@
-"""Daemons, a trainer and faults around one store, on virtual time."""
+"""Simulation of daemons, a trainer and faults on virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
     ServiceLevelTracker,
 )
 from quetzalcourse.coordination.steps.step_assembly import build_step_service
-from quetzalcourse.standins.rollouts import ScriptedEngine, ScriptedGeneration
+from quetzalcourse.standins.scripted_generation import (
+    ScriptedEngine,
+    ScriptedGeneration,
+)
 from quetzalcourse.standins.virtual_time import VirtualClock
 from quetzalcourse.state.counters import Counters
 from quetzalcourse.state.members import Member
@@ -32,17 +35,17 @@
 
 MODEL = 'verse'
 TRAINER = 'drill'
-NEWEST_KNOWN = timedelta(seconds=3)
+VERSION_PROPAGATION = timedelta(seconds=3)
 
 
 class FakePlatform(FakeStore):
-    """Store, weight store and scoring service with faults.
+    """Store, weight store and scoring service with fault injection.
 
-    :ivar published: when each weight version came out.
+    :ivar published: publication time and number of each weight version.
     """
 
     def __init__(self) -> None:
-        """Begin with version one."""
+        """Start with version 1."""
         super().__init__()
         self.published: list[tuple[float, int]] = [(0.0, 1)]
         self.weights_down = False
@@ -50,7 +53,7 @@
         self.scoring_faults: list[FaultKind] = []
 
     async def newest(self, model: str) -> Result[int, StoreFault]:
-        """Tell the newest version."""
+        """Return the newest version."""
         if self.down or self.weights_down:
             return Err(make_fault(FaultKind.not_applied))
         return Ok(self.published[-1][1])
@@ -58,7 +61,7 @@
     async def score(
         self, sample_id: str, text: str
     ) -> Result[float, FaultKind]:
-        """Score by the length of the text."""
+        """Return the length of the text as its score."""
         fault = self.scoring_faults.pop() if self.scoring_faults else None
         if fault is FaultKind.not_applied:
             return Err(fault)
@@ -72,7 +75,7 @@
         return version
 
     def find_newest_at(self, moment: float) -> int:
-        """Tell the newest version as it was at a moment."""
+        """Return the version that was newest at a loop time."""
         return max(
             (version for at, version in self.published if at <= moment),
             default=1,
@@ -80,20 +83,20 @@
 
 
 class DaemonLink:
-    """One daemon's way to the platform, which can be cut or held.
+    """Connection of one daemon to the platform, which can be blocked.
 
-    :param latency: seconds that a request takes.
+    :param latency: latency of a request in seconds.
     """
 
     def __init__(self, platform: FakePlatform, latency: float) -> None:
-        """Begin connected."""
+        """Start connected."""
         self._platform = platform
         self._latency = latency
         self.open = asyncio.Event()
         self.open.set()
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Pass a request on once the link is open."""
+        """Forward a request once the link is open."""
         call = getattr(self._platform, name)
 
         async def pass_on(*args: Any) -> Any:
@@ -105,8 +108,8 @@
 
 
 @dataclass(eq=False)
-class DaemonFake:
-    """One daemon's steps with its link."""
+class FakeDaemon:
+    """Step service of one daemon with its link."""
 
     member: Member
     link: DaemonLink
@@ -116,10 +119,10 @@
 
 
 @dataclass(eq=False)
-class StepWorld:
-    """Everything around the steps.
+class StepSimulation:
+    """Simulation of daemons, engines and the platform around steps.
 
-    :param seed: decides everything that is left to chance.
+    :param seed: seed of all random choices.
     """
 
     seed: int
@@ -128,23 +131,23 @@
     latency: float = 0.01
     chunk_tokens: int = 50
     platform: FakePlatform = field(default_factory=FakePlatform)
-    daemons: list[DaemonFake] = field(default_factory=list)
+    daemons: list[FakeDaemon] = field(default_factory=list)
     counters: list[Counters] = field(default_factory=list)
     started: int = 0
 
     def __post_init__(self) -> None:
-        """Prepare generation and chance."""
+        """Create the generation and the random source."""
         self.random = random.Random(self.seed)
         self.generation = ScriptedGeneration(
             self.engines, self.plan_length, self.chunk_tokens
         )
         self._members: list[FakeMembers] = []
-        self._dying: list[asyncio.Task[None]] = []
+        self._stopping: list[asyncio.Task[None]] = []
 
-    def start_daemon(self, **changes: Any) -> DaemonFake:
+    def start_daemon(self, **changes: Any) -> FakeDaemon:
         """Start a daemon.
 
-        :param changes: parts of dispatch that differ.
+        :param changes: parts of dispatch that replace the defaults.
         """
         self.started += 1
         name = f'daemon-{self.started}'
@@ -166,20 +169,20 @@
         scan = asyncio.get_running_loop().create_task(
             steps.adopt_orphaned_steps()
         )
-        daemon = DaemonFake(member, link, steps, counters, scan)
+        daemon = FakeDaemon(member, link, steps, counters, scan)
         self.daemons.append(daemon)
         self.counters.append(counters)
-        self._tell_members()
+        self._update_membership()
         return daemon
 
-    def kill(self, daemon: DaemonFake) -> None:
-        """Let a daemon die: its streams end and it writes nothing more."""
+    def kill(self, daemon: FakeDaemon) -> None:
+        """Kill a daemon: its streams end and it writes nothing more."""
         daemon.link.open.clear()
         daemon.scan.cancel()
         self.daemons.remove(daemon)
-        self._tell_members()
+        self._update_membership()
         loop = asyncio.get_running_loop()
-        self._dying.append(loop.create_task(daemon.steps.stop()))
+        self._stopping.append(loop.create_task(daemon.steps.stop()))
 
     async def stop(self) -> None:
         """Stop every daemon."""
@@ -189,10 +192,10 @@
             await daemon.steps.stop()
 
     def count(self, name: str, **labels: str) -> float:
-        """Add a count up over every daemon that ever ran."""
+        """Sum a counter over all daemons that ever ran."""
         return sum(one.read(name, **labels) for one in self.counters)
 
-    def _tell_members(self) -> None:
+    def _update_membership(self) -> None:
         live = [daemon.member for daemon in self.daemons]
         for members in self._members:
             members.change(live)
@@ -219,28 +222,28 @@
 
 
 def list_prompts(spec: StepSpec) -> tuple[str, ...]:
-    """Give a step's groups their prompts."""
+    """Return a prompt for each group of a step."""
     return tuple(f'prompt-{group}' for group in range(spec.groups))
 
 
-class TrainerFake:
-    """Reads a step from whichever daemon, and checks what it is given.
+class FakeTrainer:
+    """Reads a step from random daemons and checks the batches.
 
-    :ivar faults: everything that must never happen but did.
+    :ivar faults: violated invariants.
     """
 
-    def __init__(self, world: StepWorld, spec: StepSpec) -> None:
-        """Begin at the first batch."""
+    def __init__(self, simulation: StepSimulation, spec: StepSpec) -> None:
+        """Start at the first batch."""
         self.samples: dict[tuple[int, int], Sample] = {}
         self.faults: list[str] = []
         self.ages: list[int] = []
-        self._world = world
+        self._simulation = simulation
         self._spec = spec
         self._seen: dict[int, DeliveredBatch] = {}
         self._cursor = 0
 
     async def run(self, limit: float = 3000.0, poll: float = 1.0) -> None:
-        """Create the step and read until it is whole.
+        """Create the step and read until it is complete.
 
         :param limit: seconds after which samples count as lost.
         """
@@ -258,10 +261,10 @@
     def _choose(self) -> StepService | None:
         reachable = [
             daemon.steps
-            for daemon in self._world.daemons
+            for daemon in self._simulation.daemons
             if daemon.link.open.is_set()
         ]
-        return self._world.random.choice(reachable) if reachable else None
+        return self._simulation.random.choice(reachable) if reachable else None
 
     async def _create(self) -> bool:
         steps = self._choose()
@@ -288,12 +291,12 @@
             return False
         for batch in answer.ok_value:
             self._check(batch)
-        if self._world.random.random() < 0.2:
+        if self._simulation.random.random() < 0.2:
             return False
         for batch in answer.ok_value:
-            self._take(batch)
+            self._accept(batch)
         acknowledged = steps.acknowledge(spec.trainer, spec.step, self._cursor)
-        if self._world.random.random() < 0.5 and answer.ok_value:
+        if self._simulation.random.random() < 0.5 and answer.ok_value:
             try:
                 await asyncio.wait_for(acknowledged, 5)
             except asyncio.TimeoutError:
@@ -313,8 +316,8 @@
     def _check_sample(self, sample: Sample) -> None:
         spec = self._spec
         now = asyncio.get_running_loop().time()
-        heard = now - NEWEST_KNOWN.total_seconds()
-        newest = self._world.platform.find_newest_at(heard)
+        propagated = now - VERSION_PROPAGATION.total_seconds()
+        newest = self._simulation.platform.find_newest_at(propagated)
         versions = read_versions(sample.text)
         listed = [
             part.weight_version
@@ -330,7 +333,7 @@
         if spec.scored and sample.score != len(sample.text):
             self.faults.append(f'{sample.key} has no score')
 
-    def _take(self, batch: DeliveredBatch) -> None:
+    def _accept(self, batch: DeliveredBatch) -> None:
         if batch.position < self._cursor:
             return
         for sample in batch.samples:
@@ -342,5 +345,5 @@
 
 
 def read_versions(text: str) -> list[int]:
-    """Read from a text which version made each token."""
+    """Return the weight version that generated each token of a text."""
     return [int(token.partition('@')[2]) for token in text.split()]
