--- a/tools/yardstick.py
+++ b/tools/yardstick.py
@@ -22,92 +22,92 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-QUIET = 'quiet'
-SEEDS = (11, 12, 13, 14)
+QUIET_KIND = 'quiet'
+DEFAULT_SEEDS = (11, 12, 13, 14)
 # Two processors of eight stay free for the system and the person.
-JOBS = 6
+DEFAULT_JOBS = 6
 # Days on which something goes wrong on purpose, apart from high load.
-TROUBLE = 'trouble'
+TROUBLE_KIND = 'trouble'
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class DayRun:
     """One day to play.
 
-    :param slot: kind of the day, as its site names it.
+    :param day_kind: kind of the day, as its site names it.
     """
 
     checkout: Path
     site: Path
     day: str
-    slot: str
+    day_kind: str
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class DayResult:
     """What a day was worth.
 
-    :param worth: ``None`` if the day was not played to its end.
-    :param broken: rules that were broken, with their counts.
+    :param score: ``None`` if the day was not played to its end.
+    :param violations: rules that were broken, with their counts.
     """
 
-    worth: float | None
-    broken: dict[str, int]
+    score: float | None
+    violations: dict[str, int]
     served: float
     nines: float
     connections: int
 
 
-def read_options() -> argparse.Namespace:
+def parse_options() -> argparse.Namespace:
     """Read the command line."""
     parser = argparse.ArgumentParser(description=__doc__.partition('\n')[0])
     parser.add_argument('--program', type=Path, required=True)
     parser.add_argument('--site', type=Path, action='append', required=True)
     parser.add_argument('--checkout', type=Path, action='append', required=True)
-    parser.add_argument('--seeds', type=int, nargs='+', default=SEEDS)
+    parser.add_argument('--seeds', type=int, nargs='+', default=DEFAULT_SEEDS)
     parser.add_argument('--days', nargs='+', help='default: all but quiet ones')
-    parser.add_argument('--jobs', type=int, default=JOBS)
+    parser.add_argument('--jobs', type=int, default=DEFAULT_JOBS)
     parser.add_argument('--day-cap', type=int)
     parser.add_argument('--why', required=True)
     parser.add_argument('--reports', type=Path, help='folder to keep them in')
     return parser.parse_args()
 
 
-def list_plays(options: argparse.Namespace) -> list[Play]:
+def list_day_runs(options: argparse.Namespace) -> list[DayRun]:
     """List the days to play, seed by seed."""
-    plays = []
+    day_runs = []
     for site, seed in itertools.product(options.site, options.seeds):
         days = [
             day
             for day in tomllib.loads(site.read_text())['day']
             if _is_wanted(day, options.days)
         ]
-        plays += [
-            Play(checkout.resolve(), site, day['name'], day['slot'], seed)
+        day_runs += [
+            DayRun(checkout.resolve(), site, day['name'], day['slot'], seed)
             for day, checkout in itertools.product(days, options.checkout)
         ]
-    return plays
+    return day_runs
 
 
 def _is_wanted(day: dict[str, str], names: list[str] | None) -> bool:
     if names:
         return day['name'] in names
-    return day['slot'] != QUIET
+    return day['slot'] != QUIET_KIND
 
 
-def play(options: argparse.Namespace, one: Play) -> Outcome:
+def run_day(options: argparse.Namespace, day_run: DayRun) -> DayResult:
     """Play one day and read its report."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / 'report.json'
         command = [
             str(options.program.resolve()),
             'run',
-            str(one.site.resolve()),
-            one.day,
+            str(day_run.site.resolve()),
+            day_run.day,
             '--no-cpu',
             '--seed',
-            str(one.seed),
+            str(day_run.seed),
             '--report',
             str(report),
             '--why',
@@ -115,94 +115,107 @@
         ]
         if options.day_cap:
             command += ['--day-cap', str(options.day_cap)]
-        ended = subprocess.run(  # noqa: S603
+        process = subprocess.run(  # noqa: S603
             command,
-            cwd=one.checkout,
+            cwd=day_run.checkout,
             capture_output=True,
             text=True,
             check=False,
         )
         if not report.exists():
-            sys.stderr.write(ended.stdout[-2000:] + ended.stderr[-2000:])
-            return Outcome(None, {}, 0, 0, 0)
+            sys.stderr.write(process.stdout[-2000:] + process.stderr[-2000:])
+            return DayResult(None, {}, 0, 0, 0)
         text = report.read_text()
     if options.reports:
-        name = f'{one.checkout.name}-{one.site.stem}-{one.day}-{one.seed}.json'
+        name = (
+            f'{day_run.checkout.name}-{day_run.site.stem}'
+            f'-{day_run.day}-{day_run.seed}.json'
+        )
         options.reports.mkdir(parents=True, exist_ok=True)
         (options.reports / name).write_text(text)
-    return read_report(json.loads(text))
+    return parse_report(json.loads(text))
 
 
-def read_report(report: dict) -> Outcome:
+def parse_report(report: dict) -> DayResult:
     """Read what a day was worth from its report."""
     parts = {part[0]: part[2] for part in report['parts']}
     prices = {price[0]: price[1] for price in report['prices']}
-    broken = dict(report['breaks'])
+    violations = dict(report['breaks'])
     if report['fault']:
-        broken['fault'] = 1
-    return Outcome(
+        violations['fault'] = 1
+    return DayResult(
         report['G'],
-        broken,
+        violations,
         report['served'],
         parts.get('nines', 0),
         int(prices.get('new connections to servers', 0)),
     )
 
 
-def show(plays: list[Play], outcomes: list[Outcome]) -> None:
+def print_results(day_runs: list[DayRun], results: list[DayResult]) -> None:
     """Print the worth of each day, and the means of each checkout."""
-    rows: dict[tuple[str, str, int], dict[Path, Outcome]] = {}
-    for one, outcome in zip(plays, outcomes, strict=True):
-        key = (one.site.stem, one.day, one.seed)
-        rows.setdefault(key, {})[one.checkout] = outcome
-    for (site, day, seed), found in sorted(rows.items()):
-        cells = '   '.join(_show_outcome(one) for one in found.values())
+    rows: dict[tuple[str, str, int], dict[Path, DayResult]] = {}
+    for day_run, result in zip(day_runs, results, strict=True):
+        key = (day_run.site.stem, day_run.day, day_run.seed)
+        rows.setdefault(key, {})[day_run.checkout] = result
+    for (site, day, seed), by_checkout in sorted(rows.items()):
+        cells = '   '.join(
+            _format_result(result) for result in by_checkout.values()
+        )
         sys.stdout.write(f'{site} {day:10} {seed:4}   {cells}\n')
-    for checkout in dict.fromkeys(one.checkout for one in plays):
-        for path in dict.fromkeys(one.site for one in plays):
-            _show_means(checkout, path, plays, outcomes)
+    for checkout in dict.fromkeys(day_run.checkout for day_run in day_runs):
+        for path in dict.fromkeys(day_run.site for day_run in day_runs):
+            _print_means(checkout, path, day_runs, results)
 
 
-def _show_outcome(outcome: Outcome) -> str:
-    if outcome.worth is None:
+def _format_result(result: DayResult) -> str:
+    if result.score is None:
         return 'not played'
     figures = (
-        f'{outcome.worth:.3f} served {outcome.served:.3f}'
-        f' nines {outcome.nines:.2f} connections {outcome.connections}'
+        f'{result.score:.3f} served {result.served:.3f}'
+        f' nines {result.nines:.2f} connections {result.connections}'
+    )
+    return (
+        f'{figures} BROKEN {result.violations}'
+        if result.violations
+        else figures
     )
-    return f'{figures} BROKEN {outcome.broken}' if outcome.broken else figures
 
 
-def _show_means(
+def _print_means(
     checkout: Path,
     site: Path,
-    plays: list[Play],
-    outcomes: list[Outcome],
+    day_runs: list[DayRun],
+    results: list[DayResult],
 ) -> None:
-    worths: dict[str, list[float]] = {}
-    for one, outcome in zip(plays, outcomes, strict=True):
-        if one.checkout != checkout or one.site != site:
+    scores: dict[str, list[float]] = {}
+    for day_run, result in zip(day_runs, results, strict=True):
+        if day_run.checkout != checkout or day_run.site != site:
             continue
-        if outcome.worth is not None:
-            worths.setdefault(one.slot, []).append(outcome.worth)
+        if result.score is not None:
+            scores.setdefault(day_run.day_kind, []).append(result.score)
     means = '  '.join(
-        f'{slot} {statistics.mean(found):.3f} of {len(found)}'
-        for slot, found in sorted(worths.items())
+        f'{day_kind} {statistics.mean(kind_scores):.3f} of {len(kind_scores)}'
+        for day_kind, kind_scores in sorted(scores.items())
     )
-    everything = [worth for found in worths.values() for worth in found]
-    total = statistics.mean(everything) if everything else 0
+    all_scores = [
+        score for kind_scores in scores.values() for score in kind_scores
+    ]
+    overall_mean = statistics.mean(all_scores) if all_scores else 0
     sys.stdout.write(
-        f'mean {checkout.name} {site.stem}: {means}  all {total:.4f}\n'
+        f'mean {checkout.name} {site.stem}: {means}  all {overall_mean:.4f}\n'
     )
 
 
 def main() -> None:
     """Play and compare."""
-    options = read_options()
-    plays = list_plays(options)
+    options = parse_options()
+    day_runs = list_day_runs(options)
     with ThreadPoolExecutor(options.jobs) as pool:
-        outcomes = list(pool.map(lambda one: play(options, one), plays))
-    show(plays, outcomes)
+        results = list(
+            pool.map(lambda day_run: run_day(options, day_run), day_runs)
+        )
+    print_results(day_runs, results)
 
 
 if __name__ == '__main__':
