--- a/quetzalcourse/tests/soak_tests.py
+++ b/quetzalcourse/tests/soak_tests.py
@@ -15,11 +15,11 @@
     UpstreamStandin,
     write_text,
 )
-from soak.callers import BatchRecord, Told
+from soak.callers import BatchRecord, RequestOutcome
 from soak.checks import (
     check_batches,
     check_cold_starts,
-    check_orders,
+    check_fencing_tokens,
     check_poison,
     check_requests,
     check_usage,
@@ -40,37 +40,37 @@
     """Build a batch of two items whose results were all read."""
     record = BatchRecord('b-1', ['i-1', 'i-2'], 1, accepted=True)
     for position, item in enumerate(record.items):
-        record.pages[position] = {
+        record.results[position] = {
             'id': item,
             'state': 'completed',
             'text': write_text(item),
             'versions': [1],
         }
-    for position, result in record.pages.items():
-        record.pages[position] = result | changes
+    for position, result in record.results.items():
+        record.results[position] = result | changes
     return record
 
 
 @pytest.mark.parametrize(
-    ('told', 'runs', 'broken'),
+    ('outcome', 'runs', 'broken'),
     [
-        (Told('r', ONCE, 200, b'answer to r'), 1, False),
-        (Told('r', ONCE, 200, b'answer to other'), 1, True),
-        (Told('r', ONCE, 502), 1, False),
-        (Told('r', ONCE, 502), 2, True),
-        (Told('r', ONCE, 503), 1, True),
-        (Told('r', ONCE, 503), 0, False),
-        (Told('r', LOOKUP, 503, b'{"code":"quarantined"}'), 0, True),
+        (RequestOutcome('r', ONCE, 200, b'answer to r'), 1, False),
+        (RequestOutcome('r', ONCE, 200, b'answer to other'), 1, True),
+        (RequestOutcome('r', ONCE, 502), 1, False),
+        (RequestOutcome('r', ONCE, 502), 2, True),
+        (RequestOutcome('r', ONCE, 503), 1, True),
+        (RequestOutcome('r', ONCE, 503), 0, False),
+        (RequestOutcome('r', LOOKUP, 503, b'{"code":"quarantined"}'), 0, True),
     ],
 )
 def test_request_checks_find_planted_faults(
-    told: Told,
+    outcome: RequestOutcome,
     runs: int,
     broken: bool,
 ) -> None:
     """Guards against checks that never fail."""
-    faults = check_requests([told], [build_run('r')] * runs)
-    assert bool(faults) is broken
+    violations = check_requests([outcome], [build_run('r')] * runs)
+    assert bool(violations) is broken
 
 
 @pytest.mark.parametrize(
@@ -94,10 +94,10 @@
 def test_checks_find_missing_and_changed_results() -> None:
     """The result at a position must not change or vanish after a read."""
     record = build_record()
-    record.note(0, {'total': 2, 'results': [record.pages[1]]})
+    record.add_page(0, {'total': 2, 'results': [record.results[1]]})
     assert check_batches([record], [])
     short = build_record()
-    del short.pages[1]
+    del short.results[1]
     assert check_batches([short], [])
 
 
@@ -112,24 +112,26 @@
     """Two lease holders and two reports of a window are reported."""
     server = UpstreamStandin('u', 's', StoreStandin())
     server.state.order_tokens = [('vm-0', 2), ('vm-1', 1)]
-    assert check_orders([server])
+    assert check_fencing_tokens([server])
     server.state.order_tokens = [('vm-0', 2), ('vm-1', 2)]
-    assert check_orders([server])
-    late = 9.0 * documents.WINDOW_SECONDS
-    first = UsageCall('a', 1, 7, {}, late)
+    assert check_fencing_tokens([server])
+    arrived = 9.0 * documents.WINDOW_SECONDS
+    first = UsageCall('a', 1, 7, {}, arrived)
     assert not check_usage([first, first])
-    assert check_usage([first, UsageCall('b', 1, 7, {'d': 1}, late)])
-    lower = UsageCall('b', 0, 8, {}, late)
+    assert check_usage([first, UsageCall('b', 1, 7, {'d': 1}, arrived)])
+    lower = UsageCall('b', 0, 8, {}, arrived)
     assert check_usage([first, lower])
 
 
-@pytest.mark.parametrize(('late', 'broken'), [(0.5, False), (-0.5, True)])
+@pytest.mark.parametrize(
+    ('seconds_after_end', 'broken'), [(0.5, False), (-0.5, True)]
+)
 def test_usage_check_finds_a_window_reported_before_its_end(
-    late: float,
+    seconds_after_end: float,
     broken: bool,
 ) -> None:
     """A wall clock that is ahead closes windows too early."""
-    arrived = 8 * documents.WINDOW_SECONDS + late
+    arrived = 8 * documents.WINDOW_SECONDS + seconds_after_end
     report = UsageCall('a', 1, 7, {}, arrived)
     assert bool(check_usage([report])) is broken
 
@@ -143,17 +145,19 @@
 
 
 @pytest.mark.parametrize(
-    ('ends', 'later', 'broken'),
+    ('crashes_at_rest', 'final_crashes', 'broken'),
     [(3, 3, False), (0, 3, False), (5, 5, False), (3, 4, True), (13, 13, True)],
 )
 def test_poison_check_finds_planted_crashes(
-    ends: int,
-    later: int,
+    crashes_at_rest: int,
+    final_crashes: int,
     broken: bool,
 ) -> None:
     """Guards against a soak that misses crashes of servers."""
-    faults = check_poison({LOOKUP: ends}, {LOOKUP: later}, 4)
-    assert bool(faults) is broken
+    violations = check_poison(
+        {LOOKUP: crashes_at_rest}, {LOOKUP: final_crashes}, 4
+    )
+    assert bool(violations) is broken
 
 
 @pytest.mark.parametrize('options', [(), ('--places',), ('--poison',)])
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,22 +14,22 @@
 from soak.checks import (
     check_batches,
     check_cold_starts,
-    check_orders,
+    check_fencing_tokens,
     check_poison,
     check_requests,
     check_usage,
 )
+from soak.deployment import SoakDeployment
 from soak.faults import FaultSeries
-from soak.world import SoakWorld
 
 # After the last fault a batch may wait for a takeover, a reload and a retry.
-FINISH_SECONDS = 25.0
+DRAIN_TIMEOUT_SECONDS = 25.0
 # After that a daemon knows what the others and the store do.
 SETTLE_SECONDS = 3.0
-READERS = 2
+READER_COUNT = 2
 
 
-async def play(
+async def run_seed(
     seed: int,
     options: argparse.Namespace,
     folder: Path,
@@ -38,85 +38,87 @@
 
     :returns: the promises that were broken.
     """
-    world = SoakWorld(folder, options.daemons, seed)
-    world.poisoned = options.poison
-    series = FaultSeries(world, seed, places=options.places)
+    deployment = SoakDeployment(folder, options.daemons, seed)
+    deployment.poison_enabled = options.poison
+    fault_series = FaultSeries(
+        deployment, seed, data_centre_faults=options.places
+    )
     try:
-        await play_world(world, series, options.seconds)
+        await run_deployment(deployment, fault_series, options.seconds)
     finally:
-        await world.stop()
-        (folder / 'faults.log').write_text('\n'.join(series.log))
-    return check_world(world)
+        await deployment.stop()
+        (folder / 'faults.log').write_text('\n'.join(fault_series.log))
+    return check_guarantees(deployment)
 
 
-async def play_world(
-    world: SoakWorld,
-    series: FaultSeries,
+async def run_deployment(
+    deployment: SoakDeployment,
+    fault_series: FaultSeries,
     seconds: float,
 ) -> None:
     """Call and harm a world for a while, then let it come to rest."""
-    await world.start()
+    await deployment.start()
     stop = asyncio.Event()
-    callers = world.callers
-    parts = [callers.look_up(stop), callers.train(stop)]
-    parts += [callers.read(stop) for _ in range(READERS)]
-    if world.poisoned:
-        parts.append(callers.send_poison(stop))
-    running = asyncio.gather(*parts, series.run(stop))
+    callers = deployment.callers
+    clients = [callers.send_lookups(stop), callers.submit_batches(stop)]
+    clients += [callers.read_batches(stop) for _ in range(READER_COUNT)]
+    if deployment.poison_enabled:
+        clients.append(callers.send_poison_requests(stop))
+    running = asyncio.gather(*clients, fault_series.run(stop))
     await asyncio.sleep(seconds)
     stop.set()
     await running
-    await callers.finish(FINISH_SECONDS)
-    if world.poisoned:
+    await callers.read_remaining_batches(DRAIN_TIMEOUT_SECONDS)
+    if deployment.poison_enabled:
         await asyncio.sleep(SETTLE_SECONDS)
-        world.ends_at_rest = world.count_ends()
-        await callers.probe_poison()
+        deployment.crashes_at_rest = deployment.count_crashes()
+        await callers.probe_daemons_with_poison()
 
 
-def check_world(world: SoakWorld) -> list[str]:
+def check_guarantees(deployment: SoakDeployment) -> list[str]:
     """List the promises that were broken."""
-    runs = world.list_runs()
-    faults = check_requests(world.callers.told, runs)
-    faults += check_batches(world.callers.batches, runs)
-    faults += check_orders(world.list_servers())
-    faults += check_cold_starts(world.list_servers())
-    faults += check_usage(world.cloud.reports)
-    faults += check_poison(
-        world.ends_at_rest,
-        world.count_ends(),
-        sum(daemon.starts for daemon in world.daemons),
+    runs = deployment.list_runs()
+    violations = check_requests(deployment.callers.request_outcomes, runs)
+    violations += check_batches(deployment.callers.batches, runs)
+    violations += check_fencing_tokens(deployment.list_servers())
+    violations += check_cold_starts(deployment.list_servers())
+    violations += check_usage(deployment.cloud.reports)
+    violations += check_poison(
+        deployment.crashes_at_rest,
+        deployment.count_crashes(),
+        sum(daemon.starts for daemon in deployment.daemons),
     )
-    faults += [
+    violations += [
         f'{daemon.name} ended by itself with {codes}'
-        for daemon in world.daemons
-        if (codes := daemon.unexpected)
+        for daemon in deployment.daemons
+        if (codes := daemon.unexpected_exits)
     ]
-    return faults
+    return violations
 
 
-def describe(world_faults: list[str], seed: int, folder: Path) -> str:
+def format_outcome(violations: list[str], seed: int, folder: Path) -> str:
     """Write the outcome of one seed."""
-    if not world_faults:
+    if not violations:
         return f'seed {seed}: kept'
-    shown = '\n  '.join(world_faults[:10])
+    shown = '\n  '.join(violations[:10])
     return f'seed {seed}: BROKEN, logs in {folder}\n  {shown}'
 
 
-async def run(options: argparse.Namespace) -> int:
+async def run_seeds(options: argparse.Namespace) -> int:
     """Play seeds one after another.
 
     :returns: 1 if a promise was broken.
     """
-    broken = 0
+    failed = 0
     for seed in options.seeds or [random.randrange(10**6)]:
         folder = Path(tempfile.mkdtemp(prefix=f'soak-{seed}-'))
-        faults = await play(seed, options, folder)
-        sys.stdout.write(describe(faults, seed, folder) + '\n')
+        violations = await run_seed(seed, options, folder)
+        sys.stdout.write(format_outcome(violations, seed, folder) + '\n')
         sys.stdout.flush()
-        broken += bool(faults)
+        failed += bool(violations)
     count = len(options.seeds or [0])
-    sys.stdout.write(f'{count - broken} passed, {broken} failed\n')
-    return 1 if broken else 0
+    sys.stdout.write(f'{count - failed} passed, {failed} failed\n')
+    return 1 if failed else 0
 
 
 def main() -> int:
@@ -137,7 +139,7 @@
     )
     options = parser.parse_args()
     configure_log('error', 'console')
-    return run_loop(run(options))
+    return run_loop(run_seeds(options))
 
 
 if __name__ == '__main__':
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -17,18 +17,18 @@
 ACCEPTED = 202
 NOT_FOUND = 404
 UNAVAILABLE = 503
-CALL_SECONDS = 3.0
-READ_PAUSE = 0.1
-STEP_PAUSE = 0.4
-LOOKUP_PAUSE = 0.15
+CALL_TIMEOUT_SECONDS = 3.0
+READ_INTERVAL_SECONDS = 0.1
+BATCH_INTERVAL_SECONDS = 0.4
+LOOKUP_INTERVAL_SECONDS = 0.15
 # Body that ends the servers which run it.
-POISON = b'poison'
-POISON_PAUSE = 0.3
+POISON_BODY = b'poison'
+POISON_INTERVAL_SECONDS = 0.3
 POISON_PATHS = (documents.LOOKUP_PREFIX, documents.NON_IDEMPOTENT_PREFIX)
 
 
 @dataclass(slots=True)
-class Told:
+class RequestOutcome:
     """Outcome of one request."""
 
     request_id: str
@@ -42,7 +42,7 @@
     """A batch as its callers saw it.
 
     :param scored: whether its texts are to be scored.
-    :param pages: every result that was read, by position.
+    :param results: every result that was read, by position.
     """
 
     id: str
@@ -50,23 +50,23 @@
     min_version: int
     scored: bool = False
     accepted: bool = False
-    refused_only: bool = True
-    pages: dict[int, dict[str, Any]] = field(default_factory=dict)
-    faults: list[str] = field(default_factory=list)
+    always_unavailable: bool = True
+    results: dict[int, dict[str, Any]] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
 
-    def note(self, after: int, page: dict[str, Any]) -> None:
+    def add_page(self, after: int, page: dict[str, Any]) -> None:
         """Take a page, and tell of what contradicts an earlier one."""
         if page['total'] != len(self.items):
-            self.faults.append(f'{self.id}: total is {page["total"]}')
+            self.violations.append(f'{self.id}: total is {page["total"]}')
         for offset, result in enumerate(page['results']):
-            known = self.pages.setdefault(after + offset, result)
-            if known != result:
-                self.faults.append(f'{self.id}: position {after + offset}')
+            earlier_result = self.results.setdefault(after + offset, result)
+            if earlier_result != result:
+                self.violations.append(f'{self.id}: position {after + offset}')
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether every result was read."""
-        return len(self.pages) == len(self.items)
+        return len(self.results) == len(self.items)
 
 
 class SoakCallers:
@@ -77,56 +77,56 @@
 
     def __init__(self, addresses: list[str], seed: int) -> None:
         """Begin without requests."""
-        self.told: list[Told] = []
+        self.request_outcomes: list[RequestOutcome] = []
         self.batches: list[BatchRecord] = []
-        self.named = 1
+        self.target_version = 1
         self._addresses = addresses
         self._random = random.Random(seed)
         self._caller = Caller()
-        self._count = 0
+        self._lookup_count = 0
         self._poison_count = 0
 
-    async def look_up(self, stop: asyncio.Event) -> None:
+    async def send_lookups(self, stop: asyncio.Event) -> None:
         """Send lookups, some of which must run once, until told to stop."""
         while not stop.is_set():
             prefix = self._random.choice(
                 [documents.LOOKUP_PREFIX, documents.NON_IDEMPOTENT_PREFIX]
             )
-            self._count += 1
-            request_id = f'r-{self._count}'
-            told = Told(request_id, prefix, 0)
+            self._lookup_count += 1
+            request_id = f'r-{self._lookup_count}'
+            outcome = RequestOutcome(request_id, prefix, 0)
             try:
                 reply = await self._caller.call(
-                    self._choose(),
+                    self._choose_address(),
                     'POST',
                     prefix,
                     request_id.encode(),
                     request_id=request_id,
-                    seconds=CALL_SECONDS,
+                    seconds=CALL_TIMEOUT_SECONDS,
                 )
             except (aiohttp.ClientError, TimeoutError):
                 reply = None
             if reply is not None:
-                told.status = reply.status
-                told.body = reply.body
-            self.told.append(told)
-            await asyncio.sleep(LOOKUP_PAUSE)
+                outcome.status = reply.status
+                outcome.body = reply.body
+            self.request_outcomes.append(outcome)
+            await asyncio.sleep(LOOKUP_INTERVAL_SECONDS)
 
-    async def send_poison(self, stop: asyncio.Event) -> None:
+    async def send_poison_requests(self, stop: asyncio.Event) -> None:
         """Send requests that end servers, over and over."""
         while not stop.is_set():
             for path in POISON_PATHS:
-                await self.ask_poison(self._choose(), path)
-            await asyncio.sleep(POISON_PAUSE)
+                await self.send_poison_request(self._choose_address(), path)
+            await asyncio.sleep(POISON_INTERVAL_SECONDS)
 
-    async def probe_poison(self) -> None:
+    async def probe_daemons_with_poison(self) -> None:
         """Send them once more to each daemon."""
         for address in self._addresses:
             for path in POISON_PATHS:
-                await self.ask_poison(address, path)
-                await asyncio.sleep(POISON_PAUSE)
+                await self.send_poison_request(address, path)
+                await asyncio.sleep(POISON_INTERVAL_SECONDS)
 
-    async def ask_poison(self, address: str, path: str) -> None:
+    async def send_poison_request(self, address: str, path: str) -> None:
         """Send a request that ends servers, whatever comes of it."""
         self._poison_count += 1
         with suppress(aiohttp.ClientError, TimeoutError):
@@ -134,12 +134,12 @@
                 address,
                 'POST',
                 path,
-                POISON,
+                POISON_BODY,
                 request_id=f'p-{self._poison_count}',
-                seconds=CALL_SECONDS,
+                seconds=CALL_TIMEOUT_SECONDS,
             )
 
-    async def train(self, stop: asyncio.Event) -> None:
+    async def submit_batches(self, stop: asyncio.Event) -> None:
         """Submit one batch after another until told to stop."""
         while not stop.is_set():
             number = len(self.batches)
@@ -150,51 +150,53 @@
             record = BatchRecord(
                 f'b-{number}',
                 items,
-                max(self.named - 1, 1),
+                max(self.target_version - 1, 1),
                 scored=number % 2 == 1,
             )
             self.batches.append(record)
             await self._submit(record, stop)
-            await asyncio.sleep(STEP_PAUSE)
+            await asyncio.sleep(BATCH_INTERVAL_SECONDS)
 
-    async def read(self, stop: asyncio.Event) -> None:
+    async def read_batches(self, stop: asyncio.Event) -> None:
         """Read accepted batches, also ones that were read before."""
         while not stop.is_set():
-            accepted = [one for one in self.batches if one.accepted]
-            open_batches = [one for one in accepted if not one.whole]
-            chosen = open_batches or accepted
+            accepted = [record for record in self.batches if record.accepted]
+            incomplete = [record for record in accepted if not record.complete]
+            chosen = incomplete or accepted
             if chosen:
                 await self.read_page(self._random.choice(chosen))
-            await asyncio.sleep(READ_PAUSE)
+            await asyncio.sleep(READ_INTERVAL_SECONDS)
 
-    async def finish(self, seconds: float) -> None:
+    async def read_remaining_batches(self, seconds: float) -> None:
         """Read until every accepted batch is whole, or time is over."""
-        ends = asyncio.get_running_loop().time() + seconds
-        while asyncio.get_running_loop().time() < ends:
-            left = [
-                one for one in self.batches if one.accepted and not one.whole
+        deadline = asyncio.get_running_loop().time() + seconds
+        while asyncio.get_running_loop().time() < deadline:
+            remaining = [
+                record
+                for record in self.batches
+                if record.accepted and not record.complete
             ]
-            if not left:
+            if not remaining:
                 return
-            for record in left:
+            for record in remaining:
                 await self.read_page(record)
-            await asyncio.sleep(READ_PAUSE)
+            await asyncio.sleep(READ_INTERVAL_SECONDS)
 
     async def read_page(self, record: BatchRecord) -> None:
         """Read one page at a daemon chosen at random."""
-        after = len(record.pages)
-        if record.whole:
+        after = len(record.results)
+        if record.complete:
             after = self._random.randrange(len(record.items))
         try:
             reply = await self._caller.read(
-                self._choose(), record.id, after, wait_ms=300
+                self._choose_address(), record.id, after, wait_ms=300
             )
         except (aiohttp.ClientError, TimeoutError):
             return
         if reply.status == NOT_FOUND:
-            record.faults.append(f'{record.id}: not found')
+            record.violations.append(f'{record.id}: not found')
         if reply.status == OK:
-            record.note(after, reply.read())
+            record.add_page(after, reply.read())
 
     async def _submit(self, record: BatchRecord, stop: asyncio.Event) -> None:
         batch = build_batch(
@@ -205,11 +207,11 @@
         while not stop.is_set():
             reply = await self._try_submit(record.id, batch)
             if reply is None or reply.status != UNAVAILABLE:
-                record.refused_only = False
+                record.always_unavailable = False
             if reply is not None and reply.status == ACCEPTED:
                 record.accepted = True
                 return
-            await asyncio.sleep(READ_PAUSE)
+            await asyncio.sleep(READ_INTERVAL_SECONDS)
 
     async def _try_submit(
         self,
@@ -217,12 +219,12 @@
         batch: dict[str, Any],
     ) -> Reply | None:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 return await self._caller.submit(
-                    self._choose(), batch_id, batch
+                    self._choose_address(), batch_id, batch
                 )
         except (aiohttp.ClientError, TimeoutError):
             return None
 
-    def _choose(self) -> str:
+    def _choose_address(self) -> str:
         return self._random.choice(self._addresses)
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -15,59 +15,66 @@
 
     from quetzalcourse.standins.rollout.cloud import UsageCall
     from quetzalcourse.standins.rollout.upstream import Run, UpstreamStandin
-    from soak.callers import BatchRecord, Told
+    from soak.callers import BatchRecord, RequestOutcome
 
 OK = 200
 UNAVAILABLE = 503
 QUARANTINED = b'"quarantined"'
 
 
-def check_requests(told: Iterable[Told], runs: Iterable[Run]) -> list[str]:
+def check_requests(
+    request_outcomes: Iterable[RequestOutcome], runs: Iterable[Run]
+) -> list[str]:
     """Check lookups: whole answers, true refusals, one run where once."""
     counts = Counter(run.request_id for run in runs)
     return [
-        fault
-        for one in told
-        for fault in _check_request(one, counts[one.request_id])
+        violation
+        for outcome in request_outcomes
+        for violation in _check_request(outcome, counts[outcome.request_id])
     ]
 
 
-def _check_request(one: Told, ran: int) -> list[str]:
-    faults = []
-    if one.status == OK and one.body != b'answer to ' + one.request_id.encode():
-        faults.append(f'{one.request_id} got {one.body[:60]!r}')
-    if one.status != OK and QUARANTINED in one.body:
-        faults.append(f'{one.request_id} was quarantined')
-    if one.path != documents.NON_IDEMPOTENT_PREFIX:
-        return faults
-    if ran > 1:
-        faults.append(f'{one.request_id} ran {ran} times')
-    if one.status == UNAVAILABLE and ran:
-        faults.append(f'{one.request_id} was refused and ran')
-    return faults
+def _check_request(outcome: RequestOutcome, run_count: int) -> list[str]:
+    violations = []
+    if (
+        outcome.status == OK
+        and outcome.body != b'answer to ' + outcome.request_id.encode()
+    ):
+        violations.append(f'{outcome.request_id} got {outcome.body[:60]!r}')
+    if outcome.status != OK and QUARANTINED in outcome.body:
+        violations.append(f'{outcome.request_id} was quarantined')
+    if outcome.path != documents.NON_IDEMPOTENT_PREFIX:
+        return violations
+    if run_count > 1:
+        violations.append(f'{outcome.request_id} ran {run_count} times')
+    if outcome.status == UNAVAILABLE and run_count:
+        violations.append(f'{outcome.request_id} was refused and ran')
+    return violations
 
 
 def check_poison(
-    ends: Mapping[str, int],
-    later: Mapping[str, int],
-    starts: int,
+    crashes_at_rest: Mapping[str, int],
+    final_crashes: Mapping[str, int],
+    daemon_starts: int,
 ) -> list[str]:
     """Check requests that end servers.
 
     A daemon that has just started and reaches nobody may count anew; once all
     have come to rest, nothing runs such a request.
 
-    :param ends: servers that ended until the last fault, by path.
-    :param later: servers that ended until the end of the soak.
-    :param starts: how often daemons were started.
+    :param crashes_at_rest: servers that ended until the last fault, by path.
+    :param final_crashes: servers that ended until the end of the soak.
+    :param daemon_starts: how often daemons were started.
     """
-    faults = []
-    for path, count in later.items():
-        if count > MAX_CRASHES * starts:
-            faults.append(f'{path}: {count} ends, {starts} starts')
-        if count > max(ends.get(path, 0), MAX_CRASHES):
-            faults.append(f'{path}: {count} ends, {ends.get(path, 0)} before')
-    return faults
+    violations = []
+    for path, count in final_crashes.items():
+        if count > MAX_CRASHES * daemon_starts:
+            violations.append(f'{path}: {count} ends, {daemon_starts} starts')
+        if count > max(crashes_at_rest.get(path, 0), MAX_CRASHES):
+            violations.append(
+                f'{path}: {count} ends, {crashes_at_rest.get(path, 0)} before'
+            )
+    return violations
 
 
 def check_batches(
@@ -75,35 +82,35 @@
     runs: Iterable[Run],
 ) -> list[str]:
     """Check batches: each item once, whole, at one position for all."""
-    ran = {run.request_id for run in runs}
-    faults: list[str] = []
+    executed_ids = {run.request_id for run in runs}
+    violations: list[str] = []
     for record in batches:
-        faults += record.faults
+        violations += record.violations
         if record.accepted:
-            faults += _check_accepted(record)
-        elif record.refused_only and ran & set(record.items):
-            faults.append(f'{record.id} was refused and ran')
-    return faults
+            violations += _check_accepted(record)
+        elif record.always_unavailable and executed_ids & set(record.items):
+            violations.append(f'{record.id} was refused and ran')
+    return violations
 
 
 def _check_accepted(record: BatchRecord) -> list[str]:
-    faults = []
-    if not record.whole:
-        faults.append(
-            f'{record.id} has {len(record.pages)} of {len(record.items)}'
+    violations = []
+    if not record.complete:
+        violations.append(
+            f'{record.id} has {len(record.results)} of {len(record.items)}'
         )
-    listed = Counter(one['id'] for one in record.pages.values())
-    faults += [
+    listed = Counter(result['id'] for result in record.results.values())
+    violations += [
         f'{record.id}: {item} stands {count} times'
         for item, count in listed.items()
         if count > 1
     ]
-    faults += [
-        fault
-        for result in record.pages.values()
-        for fault in _check_result(record, result)
+    violations += [
+        violation
+        for result in record.results.values()
+        for violation in _check_result(record, result)
     ]
-    return faults
+    return violations
 
 
 def _check_result(record: BatchRecord, result: dict[str, object]) -> list[str]:
@@ -113,8 +120,8 @@
     if result['text'] != write_text(item):
         return [f'{record.id}: {item} is not whole']
     call = str(result.get('score', '')).partition('.')[2]
-    wanted = f'score-of-{item}' if record.scored else ''
-    if call != wanted:
+    expected_call = f'score-of-{item}' if record.scored else ''
+    if call != expected_call:
         return [f'{record.id}: {item} has the score of {call!r}']
     versions = result['versions']
     if not isinstance(versions, list) or min(versions) < record.min_version:
@@ -122,22 +129,22 @@
     return []
 
 
-def check_orders(upstreams: Iterable[UpstreamStandin]) -> list[str]:
+def check_fencing_tokens(upstreams: Iterable[UpstreamStandin]) -> list[str]:
     """Check that orders came from one holder after another."""
-    faults = []
+    violations = []
     for upstream in upstreams:
         tokens = [token for _, token in upstream.state.order_tokens]
         if tokens != sorted(tokens):
-            faults.append(f'{upstream.name} got tokens {tokens}')
+            violations.append(f'{upstream.name} got tokens {tokens}')
         holders: dict[int, set[str]] = {}
         for holder, token in upstream.state.order_tokens:
             holders.setdefault(token, set()).add(holder)
-        faults += [
+        violations += [
             f'{upstream.name}: token {token} of {names}'
             for token, names in holders.items()
             if len(names) > 1
         ]
-    return faults
+    return violations
 
 
 def check_cold_starts(upstreams: Iterable[UpstreamStandin]) -> list[str]:
@@ -154,18 +161,20 @@
 
     The sender's tokens never fall.
     """
-    figures: dict[int, dict[str, int]] = {}
-    faults = []
+    counts_by_window: dict[int, dict[str, int]] = {}
+    violations = []
     for report in reports:
-        known = figures.setdefault(report.window, report.counts)
-        if known != report.counts:
-            faults.append(f'window {report.window} has two figures')
+        first_counts = counts_by_window.setdefault(report.window, report.counts)
+        if first_counts != report.counts:
+            violations.append(f'window {report.window} has two figures')
         if report.arrived < (report.window + 1) * documents.WINDOW_SECONDS:
-            faults.append(f'window {report.window} was reported before its end')
-    pairs = itertools.pairwise(report.token for report in reports)
-    faults += [
-        f'token {second} after {first}'
-        for first, second in pairs
-        if second < first
+            violations.append(
+                f'window {report.window} was reported before its end'
+            )
+    token_pairs = itertools.pairwise(report.token for report in reports)
+    violations += [
+        f'token {later} after {earlier}'
+        for earlier, later in token_pairs
+        if later < earlier
     ]
-    return faults
+    return violations
--- a/soak/clocked_daemon.py
+++ b/soak/clocked_daemon.py
@@ -10,16 +10,16 @@
 from quetzalcourse.transport.clock import SystemClock
 
 # Names a file that holds by how many seconds the calendar is wrong.
-CALENDAR_VARIABLE = 'SOAK_CALENDAR_FILE'
+CLOCK_OFFSET_FILE_VARIABLE = 'SOAK_CALENDAR_FILE'
 
 
-def tell_calendar(_: SystemClock) -> datetime:
+def read_shifted_clock(_: SystemClock) -> datetime:
     """Tell the calendar time, wrong by what the file says."""
-    path = Path(os.environ[CALENDAR_VARIABLE])
+    path = Path(os.environ[CLOCK_OFFSET_FILE_VARIABLE])
     text = path.read_text() if path.exists() else ''
     return datetime.now(UTC) + timedelta(seconds=float(text or 0))
 
 
 if __name__ == '__main__':
-    setattr(SystemClock, 'now', tell_calendar)  # noqa: B010
+    setattr(SystemClock, 'now', read_shifted_clock)  # noqa: B010
     raise SystemExit(main())
--- a/soak/daemons.py
+++ b/soak/daemons.py
@@ -11,12 +11,12 @@
 
 from quetzalcourse.platform.settings import FILE_VARIABLE
 from quetzalcourse.standins.rollout.documents import build_settings
-from soak.clocked_daemon import CALENDAR_VARIABLE
+from soak.clocked_daemon import CLOCK_OFFSET_FILE_VARIABLE
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-RESTART_SECONDS = 0.3
+RESTART_DELAY_SECONDS = 0.3
 
 
 class SoakDaemon:
@@ -30,26 +30,26 @@
         self.name = settings['node_name']
         self.address = settings['listen']['front']
         self.starts = 0
-        self.unexpected: list[int] = []
-        self.calendar_error: float = 0
+        self.unexpected_exits: list[int] = []
+        self.clock_offset: float = 0
         self._folder = folder
         self._settings = settings
         self._process: asyncio.subprocess.Process | None = None
-        self._keeper: asyncio.Task[None] | None = None
-        self._expected = False
-        self._frozen = False
+        self._supervisor: asyncio.Task[None] | None = None
+        self._exit_expected = False
+        self._paused = False
 
     async def start(self) -> None:
         """Start the process and keep it running."""
         path = self._folder / f'{self.name}.json'
         path.write_text(json.dumps(self._settings))
-        self._keeper = asyncio.ensure_future(self._keep(path))
+        self._supervisor = asyncio.ensure_future(self._supervise(path))
 
     async def stop(self) -> None:
         """End the process for good."""
-        if self._keeper is not None:
-            self._keeper.cancel()
-        self.thaw()
+        if self._supervisor is not None:
+            self._supervisor.cancel()
+        self.resume()
         process = self._process
         if process is not None and process.returncode is None:
             process.kill()
@@ -57,46 +57,46 @@
 
     def kill(self) -> None:
         """Kill the process, as a loss of power would."""
-        self._send(signal.SIGKILL)
+        self._send_expected_signal(signal.SIGKILL)
 
     def terminate(self) -> None:
         """Ask the process to stop."""
-        self._send(signal.SIGTERM)
+        self._send_expected_signal(signal.SIGTERM)
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Pause the process."""
-        self._frozen = True
-        self._signal(signal.SIGSTOP)
+        self._paused = True
+        self._send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let a paused process go on."""
-        if self._frozen:
-            self._frozen = False
-            self._signal(signal.SIGCONT)
+        if self._paused:
+            self._paused = False
+            self._send_signal(signal.SIGCONT)
 
-    def move_calendar(self, seconds: float) -> None:
+    def shift_clock(self, seconds: float) -> None:
         """Put the process's calendar off by some seconds."""
-        self.calendar_error = seconds
+        self.clock_offset = seconds
         (self._folder / f'{self.name}.calendar').write_text(str(seconds))
 
-    def _send(self, number: signal.Signals) -> None:
-        self._expected = True
-        self.thaw()
-        self._signal(number)
+    def _send_expected_signal(self, signal_number: signal.Signals) -> None:
+        self._exit_expected = True
+        self.resume()
+        self._send_signal(signal_number)
 
-    def _signal(self, number: signal.Signals) -> None:
+    def _send_signal(self, signal_number: signal.Signals) -> None:
         process = self._process
         if process is not None and process.returncode is None:
-            process.send_signal(number)
+            process.send_signal(signal_number)
 
-    async def _keep(self, path: Path) -> None:
+    async def _supervise(self, path: Path) -> None:
         environment = os.environ | {
             FILE_VARIABLE: str(path),
-            CALENDAR_VARIABLE: str(path.with_suffix('.calendar')),
+            CLOCK_OFFSET_FILE_VARIABLE: str(path.with_suffix('.calendar')),
         }
         while True:
             self.starts += 1
-            self._expected = False
+            self._exit_expected = False
             log = self._folder / f'{self.name}.{self.starts}.log'
             with log.open('wb') as output:
                 self._process = await asyncio.create_subprocess_exec(
@@ -107,10 +107,10 @@
                     stdout=output,
                     stderr=asyncio.subprocess.STDOUT,
                 )
-                code = await self._process.wait()
-            if not self._expected:
-                self.unexpected.append(code)
-            await asyncio.sleep(RESTART_SECONDS)
+                exit_code = await self._process.wait()
+            if not self._exit_expected:
+                self.unexpected_exits.append(exit_code)
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
 
 
 def build_daemon(folder: Path, name: str, store: str, cloud: str) -> SoakDaemon:
--- a/soak/world.py
+++ b/soak/deployment.py
@@ -15,7 +15,7 @@
     UpstreamStandin,
 )
 from quetzalcourse.standins.rollout.cluster import Caller
-from soak.callers import POISON, SoakCallers
+from soak.callers import POISON_BODY, SoakCallers
 from soak.daemons import SoakDaemon, build_daemon
 from soak.proxy import FaultProxy
 
@@ -24,13 +24,13 @@
 
     from quetzalcourse.standins.rollout.upstream import Run
 
-READY_SECONDS = 60.0
-ENGINES = 3
-PLAIN = 2
+READY_TIMEOUT_SECONDS = 60.0
+ENGINE_COUNT = 3
+PLAIN_SERVER_COUNT = 2
 OK = 200
 
 
-class SoakWorld:
+class SoakDeployment:
     """Store, servers and daemons, with a proxy on every link.
 
     :param folder: where settings and logs of the daemons go.
@@ -42,27 +42,27 @@
         self.cloud = CloudStandin()
         self.daemons: list[SoakDaemon] = []
         self.servers: list[UpstreamStandin] = []
-        self.gone: list[UpstreamStandin] = []
-        self.store_links: list[FaultProxy] = []
-        self.server_links: dict[str, FaultProxy] = {}
+        self.removed_servers: list[UpstreamStandin] = []
+        self.store_proxies: list[FaultProxy] = []
+        self.server_proxies: dict[str, FaultProxy] = {}
         self.manifest_version = 1
-        self.poisoned = False
-        self.ends_at_rest: Counter[str] = Counter()
+        self.poison_enabled = False
+        self.crashes_at_rest: Counter[str] = Counter()
         self._folder = folder
-        self._count = daemons
+        self._daemon_count = daemons
         self._seed = seed
         self._doors: list[StoreEndpoint] = []
-        self._names = 0
+        self._server_count = 0
 
     async def start(self) -> None:
         """Start everything and wait until all daemons serve."""
         await self.cloud.server.start()
         await self.store.write('op', 'config', documents.build_config())
-        for _ in range(ENGINES):
+        for _ in range(ENGINE_COUNT):
             await self.add_server(documents.ENGINES, (documents.MODEL,))
-        for _ in range(PLAIN):
+        for _ in range(PLAIN_SERVER_COUNT):
             await self.add_server(documents.CATALOGUE, ())
-        for number in range(self._count):
+        for number in range(self._daemon_count):
             await self._add_daemon(f'vm-{number}')
         addresses = [daemon.address for daemon in self.daemons]
         self.callers = SoakCallers(addresses, self._seed)
@@ -74,7 +74,7 @@
             await daemon.stop()
         for server in self.servers:
             await server.stop()
-        for proxy in (*self.store_links, *self.server_links.values()):
+        for proxy in (*self.store_proxies, *self.server_proxies.values()):
             await proxy.stop()
         for door in self._doors:
             await door.server.stop()
@@ -88,21 +88,21 @@
         cold: bool = False,
     ) -> None:
         """Start a server behind a proxy of its own."""
-        self._names += 1
+        self._server_count += 1
         server = UpstreamStandin(
-            f'u-{self._names}', service, self.store, models=models
+            f'u-{self._server_count}', service, self.store, models=models
         )
         proxy = FaultProxy(server.server.address)
         await proxy.start()
         server.advertised_address = proxy.address
-        self.server_links[server.name] = proxy
+        self.server_proxies[server.name] = proxy
         server.on_crash = proxy.stop
         server.on_restart = proxy.start
-        if self.poisoned:
-            server.faults.poison = POISON
+        if self.poison_enabled:
+            server.faults.poison = POISON_BODY
         self.servers.append(server)
         for model in models:
-            server.state.versions[model] = self._find_version()
+            server.state.versions[model] = self._find_target_version()
         if cold:
             server.cold = ColdStartState(
                 documents.COLD_RATE, time.monotonic() + documents.COLD_SECONDS
@@ -124,8 +124,8 @@
         if server not in self.servers:
             return
         self.servers.remove(server)
-        self.gone.append(server)
-        proxy = self.server_links.pop(server.name)
+        self.removed_servers.append(server)
+        proxy = self.server_proxies.pop(server.name)
         await server.stop()
         await proxy.stop()
         models = tuple(server.state.versions)
@@ -133,7 +133,7 @@
         await asyncio.sleep(seconds)
         await self.store.remove('servers', server.name)
 
-    async def name_version(self, version: int) -> None:
+    async def set_target_version(self, version: int) -> None:
         """Name a version of the weights."""
         await self.store.write(
             'op',
@@ -143,9 +143,9 @@
 
     def list_servers(self) -> list[UpstreamStandin]:
         """List all servers there ever were."""
-        return [*self.servers, *self.gone]
+        return [*self.servers, *self.removed_servers]
 
-    def count_ends(self) -> Counter[str]:
+    def count_crashes(self) -> Counter[str]:
         """Count the ends of servers under each poisonous request, by path."""
         return Counter(
             run.path for server in self.list_servers() for run in server.crashes
@@ -155,9 +155,9 @@
         """List all requests that servers began to work on."""
         return [run for server in self.list_servers() for run in server.runs]
 
-    def _find_version(self) -> int:
+    def _find_target_version(self) -> int:
         callers = getattr(self, 'callers', None)
-        return callers.named if callers is not None else 1
+        return callers.target_version if callers is not None else 1
 
     async def _add_daemon(self, name: str) -> None:
         door = StoreEndpoint(self.store)
@@ -165,7 +165,7 @@
         self._doors.append(door)
         proxy = FaultProxy(door.server.address)
         await proxy.start()
-        self.store_links.append(proxy)
+        self.store_proxies.append(proxy)
         daemon = build_daemon(
             self._folder, name, proxy.address, self.cloud.server.address
         )
@@ -174,13 +174,13 @@
 
     async def _await_ready(self) -> None:
         caller = Caller()
-        async with asyncio.timeout(READY_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             for daemon in self.daemons:
-                while not await _serves(caller, daemon.address):
+                while not await _is_ready(caller, daemon.address):
                     await asyncio.sleep(0.1)
 
 
-async def _serves(caller: Caller, address: str) -> bool:
+async def _is_ready(caller: Caller, address: str) -> bool:
     try:
         reply = await caller.call(
             address,
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -8,41 +8,41 @@
 
 from quetzalcourse.standins.rollout import documents
 from quetzalcourse.standins.rollout.upstream import UpstreamStandin
-from soak.proxy import Harm
+from soak.proxy import LinkFault
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from soak.world import SoakWorld
+    from soak.deployment import SoakDeployment
 
-SHORTEST = 0.3
-LONGEST = 3.0
-PAUSE = 0.8
+MIN_FAULT_SECONDS = 0.3
+MAX_FAULT_SECONDS = 3.0
+MEAN_FAULT_INTERVAL_SECONDS = 0.8
 # How far a calendar jumps, in seconds; windows of usage last two.
-JUMPS = (-30, -5, -1.5, 1.5, 5, 30)
+CLOCK_JUMPS_SECONDS = (-30, -5, -1.5, 1.5, 5, 30)
 
 
 class FaultSeries:
     """Injects faults at random moments, also several at a time.
 
-    :param world: what is harmed.
-    :param places: whether data centres are evacuated and servers come back
-        cold, besides all else.
+    :param deployment: what is harmed.
+    :param data_centre_faults: whether data centres are evacuated and servers
+        come back cold, besides all else.
     """
 
     def __init__(
         self,
-        world: SoakWorld,
+        deployment: SoakDeployment,
         seed: int,
         *,
-        places: bool = False,
+        data_centre_faults: bool = False,
     ) -> None:
         """Begin with nothing harmed."""
         self.log: list[str] = []
-        self._world = world
+        self._deployment = deployment
         self._random = random.Random(seed)
         self._running: set[asyncio.Task[None]] = set()
-        self._kinds: list[Callable[[float], Awaitable[None]]] = [
+        self._injectors: list[Callable[[float], Awaitable[None]]] = [
             self.kill,
             self.terminate,
             self.freeze,
@@ -58,99 +58,103 @@
             self.lose_answers,
             self.change_manifest,
         ]
-        if places:
-            self._kinds += [self.evacuate, self.restart_cold]
+        if data_centre_faults:
+            self._injectors += [self.evacuate, self.restart_cold]
 
     async def run(self, stop: asyncio.Event) -> None:
         """Inject faults until told to stop, then let them end."""
         while not stop.is_set():
-            kind = self._random.choice(self._kinds)
-            length = self._random.uniform(SHORTEST, LONGEST)
-            self.log.append(f'{kind.__name__} {length:.1f}')
-            task = asyncio.ensure_future(self._inject(kind, length))
+            injector = self._random.choice(self._injectors)
+            seconds = self._random.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS)
+            self.log.append(f'{injector.__name__} {seconds:.1f}')
+            task = asyncio.ensure_future(self._inject(injector, seconds))
             self._running.add(task)
             task.add_done_callback(self._running.discard)
-            await asyncio.sleep(self._random.expovariate(1 / PAUSE))
+            await asyncio.sleep(
+                self._random.expovariate(1 / MEAN_FAULT_INTERVAL_SECONDS)
+            )
         await asyncio.gather(*self._running)
 
     async def _inject(
         self,
-        kind: Callable[[float], Awaitable[None]],
-        length: float,
+        injector: Callable[[float], Awaitable[None]],
+        seconds: float,
     ) -> None:
-        await kind(length)
+        await injector(seconds)
 
     async def kill(self, _: float) -> None:
         """Kill a daemon; it starts again."""
-        self._random.choice(self._world.daemons).kill()
+        self._random.choice(self._deployment.daemons).kill()
 
     async def terminate(self, _: float) -> None:
         """Stop a daemon gracefully; it starts again."""
-        self._random.choice(self._world.daemons).terminate()
+        self._random.choice(self._deployment.daemons).terminate()
 
-    async def freeze(self, length: float) -> None:
+    async def freeze(self, seconds: float) -> None:
         """Pause a daemon."""
-        daemon = self._random.choice(self._world.daemons)
-        daemon.freeze()
-        await asyncio.sleep(length)
-        daemon.thaw()
+        daemon = self._random.choice(self._deployment.daemons)
+        daemon.pause()
+        await asyncio.sleep(seconds)
+        daemon.resume()
 
-    async def move_calendar(self, length: float) -> None:
+    async def move_calendar(self, seconds: float) -> None:
         """Let the calendar of one daemon jump, and jump back.
 
         One at a time: daemons go by what most calendars say.
         """
-        daemon = self._random.choice(self._world.daemons)
-        jump = self._random.choice(JUMPS)
-        if any(one.calendar_error for one in self._world.daemons):
+        daemon = self._random.choice(self._deployment.daemons)
+        jump = self._random.choice(CLOCK_JUMPS_SECONDS)
+        if any(other.clock_offset for other in self._deployment.daemons):
             return
-        daemon.move_calendar(jump)
-        await asyncio.sleep(length)
-        daemon.move_calendar(0)
+        daemon.shift_clock(jump)
+        await asyncio.sleep(seconds)
+        daemon.shift_clock(0)
 
-    async def harm_store_link(self, length: float) -> None:
+    async def harm_store_link(self, seconds: float) -> None:
         """Harm the way of a daemon to the store."""
-        proxy = self._random.choice(self._world.store_links)
-        proxy.harm = self._random.choice(list(Harm))
-        await asyncio.sleep(length)
-        proxy.harm = Harm.none
+        proxy = self._random.choice(self._deployment.store_proxies)
+        proxy.fault = self._random.choice(list(LinkFault))
+        await asyncio.sleep(seconds)
+        proxy.fault = LinkFault.none
 
-    async def harm_server_link(self, length: float) -> None:
+    async def harm_server_link(self, seconds: float) -> None:
         """Harm the way of all daemons to a server."""
-        proxy = self._random.choice(list(self._world.server_links.values()))
-        proxy.harm = self._random.choice(list(Harm))
-        await asyncio.sleep(length)
-        proxy.harm = Harm.none
+        proxy = self._random.choice(
+            list(self._deployment.server_proxies.values())
+        )
+        proxy.fault = self._random.choice(list(LinkFault))
+        await asyncio.sleep(seconds)
+        proxy.fault = LinkFault.none
 
-    async def break_store(self, length: float) -> None:
+    async def break_store(self, seconds: float) -> None:
         """Take the store away from all daemons."""
-        faults = self._world.store.faults
+        faults = self._deployment.store.faults
         faults.mode = self._random.choice(['busy', 'reset', 'silent'])
-        await asyncio.sleep(length)
+        await asyncio.sleep(seconds)
         faults.mode = ''
 
-    async def lose_writes(self, length: float) -> None:
+    async def lose_writes(self, seconds: float) -> None:
         """Lose answers to writes, which take effect at once or late."""
-        faults = self._world.store.faults
+        faults = self._deployment.store.faults
         faults.lost_answers = 0.4
         faults.late_seconds = self._random.choice([0, 0.5, 2.0])
-        await asyncio.sleep(length)
+        await asyncio.sleep(seconds)
         faults.lost_answers = 0
 
     async def forget_history(self, _: float) -> None:
         """Drop the store's history of changes."""
-        self._world.store.forget_history()
+        self._deployment.store.forget_history()
 
-    async def crash_server(self, length: float) -> None:
+    async def crash_server(self, seconds: float) -> None:
         """Crash a server; another one takes its place."""
-        server = self._random.choice(self._world.servers)
-        await self._world.replace_server(server, length)
+        server = self._random.choice(self._deployment.servers)
+        await self._deployment.replace_server(server, seconds)
 
-    async def slow_server(self, length: float) -> None:
+    async def slow_server(self, seconds: float) -> None:
         """Slow a server down."""
         server = self._choose_server()
         server.faults.slowdown = 6
-        await asyncio.sleep(length)
+        await asyncio.sleep(seconds)
         server.faults.slowdown = 1
 
     async def cut_streams(self, _: float) -> None:
@@ -167,25 +171,25 @@
 
     async def change_manifest(self, _: float) -> None:
         """Put a newer manifest into force, and name new weights."""
-        world = self._world
-        world.manifest_version += self._random.randint(1, 3)
-        await world.store.write(
-            'op', 'config', documents.build_config(world.manifest_version)
+        deployment = self._deployment
+        deployment.manifest_version += self._random.randint(1, 3)
+        await deployment.store.write(
+            'op', 'config', documents.build_config(deployment.manifest_version)
         )
-        world.callers.named += 1
-        await world.name_version(world.callers.named)
+        deployment.callers.target_version += 1
+        await deployment.set_target_version(deployment.callers.target_version)
 
-    async def evacuate(self, length: float) -> None:
+    async def evacuate(self, seconds: float) -> None:
         """Evacuate the data centre of all servers for a while."""
         key = f'evacuate/{documents.DATA_CENTRE}'
-        await self._world.store.write('op', key, {})
-        await asyncio.sleep(length)
-        await self._world.store.remove('op', key)
+        await self._deployment.store.write('op', key, {})
+        await asyncio.sleep(seconds)
+        await self._deployment.store.remove('op', key)
 
-    async def restart_cold(self, length: float) -> None:
+    async def restart_cold(self, seconds: float) -> None:
         """Crash a server; a cold one takes its place."""
         server = self._choose_server()
-        await self._world.replace_server(server, length, cold=True)
+        await self._deployment.replace_server(server, seconds, cold=True)
 
     def _choose_server(self) -> UpstreamStandin:
-        return self._random.choice(self._world.servers)
+        return self._random.choice(self._deployment.servers)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -6,11 +6,11 @@
 import enum
 from contextlib import suppress
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 POLL_SECONDS = 0.02
 
 
-class Harm(enum.StrEnum):
+class LinkFault(enum.StrEnum):
     """What the proxy does to connections."""
 
     none = 'none'
@@ -34,7 +34,7 @@
         """Begin without harm."""
         self.target = target
         self.address = ''
-        self.harm = Harm.none
+        self.fault = LinkFault.none
         self.delay = 0.2
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -52,9 +52,9 @@
         """Close the port and every connection."""
         if self._server is not None:
             self._server.close()
-        self.reset_all()
+        self.abort_connections()
 
-    def reset_all(self) -> None:
+    def abort_connections(self) -> None:
         """Reset every connection."""
         for writer in tuple(self._writers):
             writer.transport.abort()
@@ -65,43 +65,43 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         self._writers.add(writer)
-        if self.harm is Harm.reset:
+        if self.fault is LinkFault.reset:
             writer.transport.abort()
         host, _, port = self.target.rpartition(':')
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, int(port)
             )
         except OSError:
             writer.transport.abort()
             self._writers.discard(writer)
             return
-        self._writers.add(far_writer)
+        self._writers.add(target_writer)
         # Cancelled at the end of the soak, which is no fault of its own.
         with suppress(asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, far_writer, Harm.cut_requests),
-                self._pump(far_reader, writer, Harm.cut_answers),
+                self._forward(reader, target_writer, LinkFault.cut_requests),
+                self._forward(target_reader, writer, LinkFault.cut_answers),
             )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, target_writer}
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        cut: Harm,
+        cut_fault: LinkFault,
     ) -> None:
         with suppress(OSError, RuntimeError):
-            while piece := await reader.read(CHUNK):
-                if self.harm is Harm.delay:
+            while chunk := await reader.read(CHUNK_BYTES):
+                if self.fault is LinkFault.delay:
                     await asyncio.sleep(self.delay)
-                while self.harm in {Harm.silence, cut}:
+                while self.fault in {LinkFault.silence, cut_fault}:
                     await asyncio.sleep(POLL_SECONDS)
-                if self.harm is Harm.reset:
+                if self.fault is LinkFault.reset:
                     break
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
-            if self.harm is Harm.reset:
+            if self.fault is LinkFault.reset:
                 writer.transport.abort()
                 return
             writer.close()
