--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for the developers, outside the product."""
+"""Development tools that are not part of the installed package."""
--- a/tools/yardstick.py
+++ b/tools/yardstick.py
@@ -1,8 +1,7 @@
-"""Plays a fixed set of days on checkouts, and compares what they are worth.
+"""Run the same simulated days on several checkouts and compare their scores.
 
-One day differs from run to run by more than most changes of policy bring, so
-a change is judged by the same days with the same seeds on the code before
-and after it::
+The score of a day varies more between runs than most policy changes affect it,
+so a change is evaluated on the same days and seeds before and after it::
 
     python -m tools.yardstick --program PATH --site FILE --checkout before \\
         --checkout after --why "..."
@@ -24,17 +23,18 @@
 
 QUIET_KIND = 'quiet'
 DEFAULT_SEEDS = (11, 12, 13, 14)
-# Two processors of eight stay free for the system and the person.
+# Leaves two of eight processors to the system and its user.
 DEFAULT_JOBS = 6
-# Days on which something goes wrong on purpose, apart from high load.
+# Days with an injected fault other than high load.
 TROUBLE_KIND = 'trouble'
 
 
 @dataclass(frozen=True, slots=True)
 class DayRun:
-    """One day to play.
+    """A simulated day to run on one checkout with one seed.
 
-    :param day_kind: kind of the day, as its site names it.
+    :param day: name of the day in the site file.
+    :param day_kind: kind of the day, from its ``slot`` in the site file.
     """
 
     checkout: Path
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """What a day was worth.
+    """Score and figures from the report of one day.
 
-    :param score: ``None`` if the day was not played to its end.
-    :param violations: rules that were broken, with their counts.
+    :param score: ``None`` if the day did not run to its end.
+    :param violations: number of violations by rule.
     """
 
     score: float | None
@@ -60,22 +60,26 @@
 
 
 def parse_options() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.partition('\n')[0])
     parser.add_argument('--program', type=Path, required=True)
     parser.add_argument('--site', type=Path, action='append', required=True)
     parser.add_argument('--checkout', type=Path, action='append', required=True)
     parser.add_argument('--seeds', type=int, nargs='+', default=DEFAULT_SEEDS)
-    parser.add_argument('--days', nargs='+', help='default: all but quiet ones')
+    parser.add_argument(
+        '--days', nargs='+', help='default: all days that are not quiet'
+    )
     parser.add_argument('--jobs', type=int, default=DEFAULT_JOBS)
     parser.add_argument('--day-cap', type=int)
     parser.add_argument('--why', required=True)
-    parser.add_argument('--reports', type=Path, help='folder to keep them in')
+    parser.add_argument(
+        '--reports', type=Path, help='directory to save the reports in'
+    )
     return parser.parse_args()
 
 
 def list_day_runs(options: argparse.Namespace) -> list[DayRun]:
-    """List the days to play, seed by seed."""
+    """List the days to run, ordered by site and seed."""
     day_runs = []
     for site, seed in itertools.product(options.site, options.seeds):
         days = [
@@ -97,7 +101,7 @@
 
 
 def run_day(options: argparse.Namespace, day_run: DayRun) -> DayResult:
-    """Play one day and read its report."""
+    """Run one day and parse its report."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / 'report.json'
         command = [
@@ -137,7 +141,7 @@
 
 
 def parse_report(report: dict) -> DayResult:
-    """Read what a day was worth from its report."""
+    """Extract the score and figures of a day from its report."""
     parts = {part[0]: part[2] for part in report['parts']}
     prices = {price[0]: price[1] for price in report['prices']}
     violations = dict(report['breaks'])
@@ -153,7 +157,7 @@
 
 
 def print_results(day_runs: list[DayRun], results: list[DayResult]) -> None:
-    """Print the worth of each day, and the means of each checkout."""
+    """Print the score of each day and the mean scores of each checkout."""
     rows: dict[tuple[str, str, int], dict[Path, DayResult]] = {}
     for day_run, result in zip(day_runs, results, strict=True):
         key = (day_run.site.stem, day_run.day, day_run.seed)
@@ -170,7 +174,7 @@
 
 def _format_result(result: DayResult) -> str:
     if result.score is None:
-        return 'not played'
+        return 'not finished'
     figures = (
         f'{result.score:.3f} served {result.served:.3f}'
         f' nines {result.nines:.2f} connections {result.connections}'
@@ -208,7 +212,7 @@
 
 
 def main() -> None:
-    """Play and compare."""
+    """Run the days in parallel and print the comparison."""
     options = parse_options()
     day_runs = list_day_runs(options)
     with ThreadPoolExecutor(options.jobs) as pool:
