--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of real daemons with faults injected from outside."""
+"""Randomized soak test of daemon processes under externally injected faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m soak``: play seeded faults against real daemons."""
+"""``python -m soak``: inject seeded faults into running daemons."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 from soak.deployment import SoakDeployment
 from soak.faults import FaultSeries
 
-# After the last fault a batch may wait for a takeover, a reload and a retry.
+# After the last fault a batch may still wait for a lease takeover, a weight
+# reload and a retry.
 DRAIN_TIMEOUT_SECONDS = 25.0
-# After that a daemon knows what the others and the store do.
+# By then each daemon has the state of its peers and of the store.
 SETTLE_SECONDS = 3.0
 READER_COUNT = 2
 
@@ -34,9 +35,9 @@
     options: argparse.Namespace,
     folder: Path,
 ) -> list[str]:
-    """Play one seed.
+    """Run the soak with one seed.
 
-    :returns: the promises that were broken.
+    :returns: the violated guarantees.
     """
     deployment = SoakDeployment(folder, options.daemons, seed)
     deployment.poison_enabled = options.poison
@@ -56,7 +57,7 @@
     fault_series: FaultSeries,
     seconds: float,
 ) -> None:
-    """Call and harm a world for a while, then let it come to rest."""
+    """Run load and faults for some seconds, then wait for open batches."""
     await deployment.start()
     stop = asyncio.Event()
     callers = deployment.callers
@@ -76,7 +77,7 @@
 
 
 def check_guarantees(deployment: SoakDeployment) -> list[str]:
-    """List the promises that were broken."""
+    """List the violated guarantees."""
     runs = deployment.list_runs()
     violations = check_requests(deployment.callers.request_outcomes, runs)
     violations += check_batches(deployment.callers.batches, runs)
@@ -97,7 +98,7 @@
 
 
 def format_outcome(violations: list[str], seed: int, folder: Path) -> str:
-    """Write the outcome of one seed."""
+    """Format the outcome of one seed."""
     if not violations:
         return f'seed {seed}: kept'
     shown = '\n  '.join(violations[:10])
@@ -105,9 +106,9 @@
 
 
 async def run_seeds(options: argparse.Namespace) -> int:
-    """Play seeds one after another.
+    """Run the seeds one after another.
 
-    :returns: 1 if a promise was broken.
+    :returns: 1 if a guarantee was violated, else 0.
     """
     failed = 0
     for seed in options.seeds or [random.randrange(10**6)]:
@@ -122,7 +123,7 @@
 
 
 def main() -> int:
-    """Read the command line and play."""
+    """Parse the command line and run the soak."""
     parser = argparse.ArgumentParser(prog='soak', description=__doc__)
     parser.add_argument('--seeds', type=int, nargs='*', metavar='SEED')
     parser.add_argument('--seconds', type=float, default=20.0)
@@ -130,12 +131,12 @@
     parser.add_argument(
         '--places',
         action='store_true',
-        help='also evacuate data centres and let servers come back cold',
+        help='also evacuate data centres and replace servers by cold ones',
     )
     parser.add_argument(
         '--poison',
         action='store_true',
-        help='also send requests that end the servers which run them',
+        help='also send requests that crash the servers which run them',
     )
     options = parser.parse_args()
     configure_log('error', 'console')
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: what they asked, and what they were told."""
+"""Callers of the soak test, which record their requests and responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 READ_INTERVAL_SECONDS = 0.1
 BATCH_INTERVAL_SECONDS = 0.4
 LOOKUP_INTERVAL_SECONDS = 0.15
-# Body that ends the servers which run it.
+# A server that runs a request with this body crashes.
 POISON_BODY = b'poison'
 POISON_INTERVAL_SECONDS = 0.3
 POISON_PATHS = (documents.LOOKUP_PREFIX, documents.NON_IDEMPOTENT_PREFIX)
@@ -29,7 +29,10 @@
 
 @dataclass(slots=True)
 class RequestOutcome:
-    """Outcome of one request."""
+    """Response to one request.
+
+    :param status: HTTP status, or 0 if no response arrived.
+    """
 
     request_id: str
     path: str
@@ -39,10 +42,12 @@
 
 @dataclass(slots=True)
 class BatchRecord:
-    """A batch as its callers saw it.
+    """A batch as its callers observed it.
 
     :param scored: whether its texts are to be scored.
-    :param results: every result that was read, by position.
+    :param always_unavailable: whether each submission was refused with 503.
+    :param results: all results read so far, by position.
+    :param violations: contradictions between responses for this batch.
     """
 
     id: str
@@ -55,7 +60,7 @@
     violations: list[str] = field(default_factory=list)
 
     def add_page(self, after: int, page: dict[str, Any]) -> None:
-        """Take a page, and tell of what contradicts an earlier one."""
+        """Add a page of results and record contradictions to earlier pages."""
         if page['total'] != len(self.items):
             self.violations.append(f'{self.id}: total is {page["total"]}')
         for offset, result in enumerate(page['results']):
@@ -70,13 +75,13 @@
 
 
 class SoakCallers:
-    """Humans and a trainer that call daemons at random.
+    """Interactive callers and a trainer that call random daemons.
 
-    :param addresses: where the daemons serve callers.
+    :param addresses: ``host:port`` of each daemon's listener for callers.
     """
 
     def __init__(self, addresses: list[str], seed: int) -> None:
-        """Begin without requests."""
+        """Initialize without requests."""
         self.request_outcomes: list[RequestOutcome] = []
         self.batches: list[BatchRecord] = []
         self.target_version = 1
@@ -87,7 +92,7 @@
         self._poison_count = 0
 
     async def send_lookups(self, stop: asyncio.Event) -> None:
-        """Send lookups, some of which must run once, until told to stop."""
+        """Send lookups, some of them non-idempotent, until ``stop`` is set."""
         while not stop.is_set():
             prefix = self._random.choice(
                 [documents.LOOKUP_PREFIX, documents.NON_IDEMPOTENT_PREFIX]
@@ -113,21 +118,21 @@
             await asyncio.sleep(LOOKUP_INTERVAL_SECONDS)
 
     async def send_poison_requests(self, stop: asyncio.Event) -> None:
-        """Send requests that end servers, over and over."""
+        """Send requests that crash servers until ``stop`` is set."""
         while not stop.is_set():
             for path in POISON_PATHS:
                 await self.send_poison_request(self._choose_address(), path)
             await asyncio.sleep(POISON_INTERVAL_SECONDS)
 
     async def probe_daemons_with_poison(self) -> None:
-        """Send them once more to each daemon."""
+        """Send each poison request once more to each daemon."""
         for address in self._addresses:
             for path in POISON_PATHS:
                 await self.send_poison_request(address, path)
                 await asyncio.sleep(POISON_INTERVAL_SECONDS)
 
     async def send_poison_request(self, address: str, path: str) -> None:
-        """Send a request that ends servers, whatever comes of it."""
+        """Send a request that crashes servers and ignore its outcome."""
         self._poison_count += 1
         with suppress(aiohttp.ClientError, TimeoutError):
             await self._caller.call(
@@ -140,7 +145,7 @@
             )
 
     async def submit_batches(self, stop: asyncio.Event) -> None:
-        """Submit one batch after another until told to stop."""
+        """Submit one batch after another until ``stop`` is set."""
         while not stop.is_set():
             number = len(self.batches)
             items = [
@@ -158,7 +163,10 @@
             await asyncio.sleep(BATCH_INTERVAL_SECONDS)
 
     async def read_batches(self, stop: asyncio.Event) -> None:
-        """Read accepted batches, also ones that were read before."""
+        """Read accepted batches, incomplete ones first, until ``stop`` is set.
+
+        Complete batches are read again when no other is left.
+        """
         while not stop.is_set():
             accepted = [record for record in self.batches if record.accepted]
             incomplete = [record for record in accepted if not record.complete]
@@ -168,7 +176,7 @@
             await asyncio.sleep(READ_INTERVAL_SECONDS)
 
     async def read_remaining_batches(self, seconds: float) -> None:
-        """Read until every accepted batch is whole, or time is over."""
+        """Read until each accepted batch is complete or the time is over."""
         deadline = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < deadline:
             remaining = [
@@ -183,7 +191,7 @@
             await asyncio.sleep(READ_INTERVAL_SECONDS)
 
     async def read_page(self, record: BatchRecord) -> None:
-        """Read one page at a daemon chosen at random."""
+        """Read one page from a daemon chosen at random."""
         after = len(record.results)
         if record.complete:
             after = self._random.randrange(len(record.items))
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""Promises that the soak checks, from what callers and servers saw."""
+"""Check the guarantees from what callers and servers recorded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
 def check_requests(
     request_outcomes: Iterable[RequestOutcome], runs: Iterable[Run]
 ) -> list[str]:
-    """Check lookups: whole answers, true refusals, one run where once."""
+    """Check the responses to lookups and how often each one ran.
+
+    A response is complete, a refused request ran nowhere, and a non-idempotent
+    one ran at most once.
+    """
     counts = Counter(run.request_id for run in runs)
     return [
         violation
@@ -57,14 +61,15 @@
     final_crashes: Mapping[str, int],
     daemon_starts: int,
 ) -> list[str]:
-    """Check requests that end servers.
+    """Check that requests which crash servers are quarantined.
 
-    A daemon that has just started and reaches nobody may count anew; once all
-    have come to rest, nothing runs such a request.
+    A daemon that has just started and reaches no peer may count crashes from
+    zero. Once all daemons have settled, no server runs such a request.
 
-    :param crashes_at_rest: servers that ended until the last fault, by path.
-    :param final_crashes: servers that ended until the end of the soak.
-    :param daemon_starts: how often daemons were started.
+    :param crashes_at_rest: number of crashes by path when the daemons had
+        settled after the last fault.
+    :param final_crashes: number of crashes by path at the end of the soak.
+    :param daemon_starts: number of starts of all daemons.
     """
     violations = []
     for path, count in final_crashes.items():
@@ -81,7 +86,7 @@
     batches: Iterable[BatchRecord],
     runs: Iterable[Run],
 ) -> list[str]:
-    """Check batches: each item once, whole, at one position for all."""
+    """Check that each item is complete and has one position for all readers."""
     executed_ids = {run.request_id for run in runs}
     violations: list[str] = []
     for record in batches:
@@ -130,7 +135,7 @@
 
 
 def check_fencing_tokens(upstreams: Iterable[UpstreamStandin]) -> list[str]:
-    """Check that orders came from one holder after another."""
+    """Check that the fencing tokens of orders never fall and have one holder."""
     violations = []
     for upstream in upstreams:
         tokens = [token for _, token in upstream.state.order_tokens]
@@ -148,7 +153,7 @@
 
 
 def check_cold_starts(upstreams: Iterable[UpstreamStandin]) -> list[str]:
-    """Check that no cold server got more requests than it bears."""
+    """Check that no cold server crashed from requests beyond its capacity."""
     return [
         f'{upstream.name} crashed under its first requests'
         for upstream in upstreams
@@ -157,9 +162,9 @@
 
 
 def check_usage(reports: Iterable[UsageCall]) -> list[str]:
-    """Check that each window is over and has one figure.
+    """Check that each window is reported after its end and with one figure.
 
-    The sender's tokens never fall.
+    The fencing tokens of the reports never fall.
     """
     counts_by_window: dict[int, dict[str, int]] = {}
     violations = []
--- a/soak/clocked_daemon.py
+++ b/soak/clocked_daemon.py
@@ -1,4 +1,4 @@
-"""``quetzalcoursed`` on a VM whose calendar the soak can move."""
+"""``quetzalcoursed`` with a wall clock that the soak test can shift."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from quetzalcourse.daemon import main
 from quetzalcourse.transport.clock import SystemClock
 
-# Names a file that holds by how many seconds the calendar is wrong.
+# Path of a file with the offset of the wall clock in seconds.
 CLOCK_OFFSET_FILE_VARIABLE = 'SOAK_CALENDAR_FILE'
 
 
 def read_shifted_clock(_: SystemClock) -> datetime:
-    """Tell the calendar time, wrong by what the file says."""
+    """Return the wall-clock time plus the offset from the file."""
     path = Path(os.environ[CLOCK_OFFSET_FILE_VARIABLE])
     text = path.read_text() if path.exists() else ''
     return datetime.now(UTC) + timedelta(seconds=float(text or 0))
--- a/soak/daemons.py
+++ b/soak/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons as processes that the soak started, and their ends."""
+"""Start, signal and restart the daemon processes of the soak test."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class SoakDaemon:
-    """One daemon, started again whenever its process ends.
+    """A daemon that is restarted whenever its process exits.
 
-    :param folder: where its settings and its logs go.
+    :param folder: directory for its settings and logs.
     """
 
     def __init__(self, folder: Path, settings: dict[str, Any]) -> None:
-        """Keep the settings."""
+        """Initialize from the settings without starting a process."""
         self.name = settings['node_name']
         self.address = settings['listen']['front']
         self.starts = 0
@@ -40,13 +40,13 @@
         self._paused = False
 
     async def start(self) -> None:
-        """Start the process and keep it running."""
+        """Start the process and restart it after each exit."""
         path = self._folder / f'{self.name}.json'
         path.write_text(json.dumps(self._settings))
         self._supervisor = asyncio.ensure_future(self._supervise(path))
 
     async def stop(self) -> None:
-        """End the process for good."""
+        """Stop restarting and kill the process."""
         if self._supervisor is not None:
             self._supervisor.cancel()
         self.resume()
@@ -56,26 +56,26 @@
             await process.wait()
 
     def kill(self) -> None:
-        """Kill the process, as a loss of power would."""
+        """Kill the process with SIGKILL, as after a power failure."""
         self._send_expected_signal(signal.SIGKILL)
 
     def terminate(self) -> None:
-        """Ask the process to stop."""
+        """Stop the process gracefully with SIGTERM."""
         self._send_expected_signal(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Pause the process."""
+        """Pause the process with SIGSTOP."""
         self._paused = True
         self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         if self._paused:
             self._paused = False
             self._send_signal(signal.SIGCONT)
 
     def shift_clock(self, seconds: float) -> None:
-        """Put the process's calendar off by some seconds."""
+        """Set the offset of the process's wall clock in seconds."""
         self.clock_offset = seconds
         (self._folder / f'{self.name}.calendar').write_text(str(seconds))
 
@@ -114,5 +114,5 @@
 
 
 def build_daemon(folder: Path, name: str, store: str, cloud: str) -> SoakDaemon:
-    """Build a daemon on free ports."""
+    """Build a daemon that listens on free ports."""
     return SoakDaemon(folder, build_settings(name, store, cloud))
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the soak harms: daemons as processes of their own."""
+"""Deployment under test, with each daemon in its own process."""
 
 from __future__ import annotations
 
@@ -31,13 +31,14 @@
 
 
 class SoakDeployment:
-    """Store, servers and daemons, with a proxy on every link.
+    """Store, servers and daemons, with a fault proxy on each link.
 
-    :param folder: where settings and logs of the daemons go.
+    :param folder: directory for the settings and logs of the daemons.
+    :param daemons: number of daemons.
     """
 
     def __init__(self, folder: Path, daemons: int, seed: int) -> None:
-        """Keep the sizes."""
+        """Initialize without starting anything."""
         self.store = StoreStandin(seed)
         self.cloud = CloudStandin()
         self.daemons: list[SoakDaemon] = []
@@ -55,7 +56,7 @@
         self._server_count = 0
 
     async def start(self) -> None:
-        """Start everything and wait until all daemons serve."""
+        """Start all parts and wait until each daemon serves requests."""
         await self.cloud.server.start()
         await self.store.write('op', 'config', documents.build_config())
         for _ in range(ENGINE_COUNT):
@@ -69,7 +70,7 @@
         await self._await_ready()
 
     async def stop(self) -> None:
-        """Stop everything that was started."""
+        """Stop all parts that were started."""
         for daemon in self.daemons:
             await daemon.stop()
         for server in self.servers:
@@ -87,7 +88,7 @@
         *,
         cold: bool = False,
     ) -> None:
-        """Start a server behind a proxy of its own."""
+        """Start a server behind its own proxy."""
         self._server_count += 1
         server = UpstreamStandin(
             f'u-{self._server_count}', service, self.store, models=models
@@ -116,10 +117,11 @@
         *,
         cold: bool = False,
     ) -> None:
-        """Crash a server, and start another one.
+        """Crash a server and start a replacement.
 
-        :param seconds: after which the entry of the first one lapses.
-        :param cold: whether the other one is cold at first.
+        :param seconds: delay before the registration of the crashed server is
+            removed.
+        :param cold: whether the replacement is cold at first.
         """
         if server not in self.servers:
             return
@@ -134,7 +136,7 @@
         await self.store.remove('servers', server.name)
 
     async def set_target_version(self, version: int) -> None:
-        """Name a version of the weights."""
+        """Set the target version of the weights."""
         await self.store.write(
             'op',
             f'version/{documents.MODEL}',
@@ -142,17 +144,17 @@
         )
 
     def list_servers(self) -> list[UpstreamStandin]:
-        """List all servers there ever were."""
+        """List all servers, including the crashed ones."""
         return [*self.servers, *self.removed_servers]
 
     def count_crashes(self) -> Counter[str]:
-        """Count the ends of servers under each poisonous request, by path."""
+        """Count the server crashes from poison requests, by path."""
         return Counter(
             run.path for server in self.list_servers() for run in server.crashes
         )
 
     def list_runs(self) -> list[Run]:
-        """List all requests that servers began to work on."""
+        """List all requests that servers started to process."""
         return [run for server in self.list_servers() for run in server.runs]
 
     def _find_target_version(self) -> int:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak: a seeded series that overlaps."""
+"""Inject a seeded series of overlapping faults."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 MIN_FAULT_SECONDS = 0.3
 MAX_FAULT_SECONDS = 3.0
 MEAN_FAULT_INTERVAL_SECONDS = 0.8
-# How far a calendar jumps, in seconds; windows of usage last two.
+# Jumps shorter and longer than the usage window of two seconds.
 CLOCK_JUMPS_SECONDS = (-30, -5, -1.5, 1.5, 5, 30)
 
 
 class FaultSeries:
-    """Injects faults at random moments, also several at a time.
+    """Injects faults at random times, several of which may overlap.
 
-    :param deployment: what is harmed.
-    :param data_centre_faults: whether data centres are evacuated and servers
-        come back cold, besides all else.
+    The names of the fault methods are written to ``faults.log``.
+
+    :param deployment: target of the faults.
+    :param data_centre_faults: whether to also evacuate data centres and replace
+        servers by cold ones.
     """
 
     def __init__(
@@ -37,7 +39,7 @@
         *,
         data_centre_faults: bool = False,
     ) -> None:
-        """Begin with nothing harmed."""
+        """Initialize without active faults."""
         self.log: list[str] = []
         self._deployment = deployment
         self._random = random.Random(seed)
@@ -62,7 +64,7 @@
             self._injectors += [self.evacuate, self.restart_cold]
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Inject faults until told to stop, then let them end."""
+        """Inject faults until ``stop`` is set, then wait for their ends."""
         while not stop.is_set():
             injector = self._random.choice(self._injectors)
             seconds = self._random.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS)
@@ -83,24 +85,24 @@
         await injector(seconds)
 
     async def kill(self, _: float) -> None:
-        """Kill a daemon; it starts again."""
+        """Kill a daemon, which is then restarted."""
         self._random.choice(self._deployment.daemons).kill()
 
     async def terminate(self, _: float) -> None:
-        """Stop a daemon gracefully; it starts again."""
+        """Stop a daemon gracefully; it is then restarted."""
         self._random.choice(self._deployment.daemons).terminate()
 
     async def freeze(self, seconds: float) -> None:
-        """Pause a daemon."""
+        """Pause a daemon for some seconds."""
         daemon = self._random.choice(self._deployment.daemons)
         daemon.pause()
         await asyncio.sleep(seconds)
         daemon.resume()
 
     async def move_calendar(self, seconds: float) -> None:
-        """Let the calendar of one daemon jump, and jump back.
+        """Shift the wall clock of one daemon for some seconds.
 
-        One at a time: daemons go by what most calendars say.
+        Only one at a time, because daemons rely on the majority of clocks.
         """
         daemon = self._random.choice(self._deployment.daemons)
         jump = self._random.choice(CLOCK_JUMPS_SECONDS)
@@ -111,14 +113,14 @@
         daemon.shift_clock(0)
 
     async def harm_store_link(self, seconds: float) -> None:
-        """Harm the way of a daemon to the store."""
+        """Inject a fault into the link from a daemon to the store."""
         proxy = self._random.choice(self._deployment.store_proxies)
         proxy.fault = self._random.choice(list(LinkFault))
         await asyncio.sleep(seconds)
         proxy.fault = LinkFault.none
 
     async def harm_server_link(self, seconds: float) -> None:
-        """Harm the way of all daemons to a server."""
+        """Inject a fault into the link from all daemons to a server."""
         proxy = self._random.choice(
             list(self._deployment.server_proxies.values())
         )
@@ -127,14 +129,14 @@
         proxy.fault = LinkFault.none
 
     async def break_store(self, seconds: float) -> None:
-        """Take the store away from all daemons."""
+        """Make the store unavailable to all daemons."""
         faults = self._deployment.store.faults
         faults.mode = self._random.choice(['busy', 'reset', 'silent'])
         await asyncio.sleep(seconds)
         faults.mode = ''
 
     async def lose_writes(self, seconds: float) -> None:
-        """Lose answers to writes, which take effect at once or late."""
+        """Drop responses to writes, which take effect at once or delayed."""
         faults = self._deployment.store.faults
         faults.lost_answers = 0.4
         faults.late_seconds = self._random.choice([0, 0.5, 2.0])
@@ -142,35 +144,35 @@
         faults.lost_answers = 0
 
     async def forget_history(self, _: float) -> None:
-        """Drop the store's history of changes."""
+        """Drop the store's change history."""
         self._deployment.store.forget_history()
 
     async def crash_server(self, seconds: float) -> None:
-        """Crash a server; another one takes its place."""
+        """Crash a server and replace it by another one."""
         server = self._random.choice(self._deployment.servers)
         await self._deployment.replace_server(server, seconds)
 
     async def slow_server(self, seconds: float) -> None:
-        """Slow a server down."""
+        """Slow down the responses of a server."""
         server = self._choose_server()
         server.faults.slowdown = 6
         await asyncio.sleep(seconds)
         server.faults.slowdown = 1
 
     async def cut_streams(self, _: float) -> None:
-        """Cut the next streams of an engine in their middle."""
+        """Cut the next streams of a server before their end."""
         server = self._choose_server()
         server.faults.cut_after = self._random.randint(1, 6)
         server.faults.stream_cuts = 3
 
     async def lose_answers(self, _: float) -> None:
-        """Lose or double the next answers of a server."""
+        """Drop or duplicate the next responses of a server."""
         server = self._choose_server()
         server.faults.lost_answers = 2
         server.faults.duplicated_answers = 2
 
     async def change_manifest(self, _: float) -> None:
-        """Put a newer manifest into force, and name new weights."""
+        """Write a newer manifest and set a newer target weight version."""
         deployment = self._deployment
         deployment.manifest_version += self._random.randint(1, 3)
         await deployment.store.write(
@@ -180,14 +182,14 @@
         await deployment.set_target_version(deployment.callers.target_version)
 
     async def evacuate(self, seconds: float) -> None:
-        """Evacuate the data centre of all servers for a while."""
+        """Evacuate the data centre of all servers for some seconds."""
         key = f'evacuate/{documents.DATA_CENTRE}'
         await self._deployment.store.write('op', key, {})
         await asyncio.sleep(seconds)
         await self._deployment.store.remove('op', key)
 
     async def restart_cold(self, seconds: float) -> None:
-        """Crash a server; a cold one takes its place."""
+        """Crash a server and replace it by a cold one."""
         server = self._choose_server()
         await self._deployment.replace_server(server, seconds, cold=True)
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""TCP proxy on loopback that harms the connections through it."""
+"""Loopback TCP proxy that injects faults into its connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LinkFault(enum.StrEnum):
-    """What the proxy does to connections."""
+    """Fault that the proxy injects into its connections."""
 
     none = 'none'
     delay = 'delay'
@@ -22,16 +22,17 @@
 
 
 class FaultProxy:
-    """Forwards connections to one address, or harms them.
+    """Forwards connections to one address and injects faults into them.
 
-    ``silence`` holds all bytes back in both directions, the two cuts only
-    those of one direction; what is held back comes late or never.
+    ``silence`` holds back all bytes in both directions, ``cut_requests`` and
+    ``cut_answers`` those of one direction. Bytes held back arrive late or
+    never.
 
-    :param target: IP number and port behind it.
+    :param target: IP address and port to forward to.
     """
 
     def __init__(self, target: str) -> None:
-        """Begin without harm."""
+        """Initialize without a fault."""
         self.target = target
         self.address = ''
         self.fault = LinkFault.none
@@ -40,7 +41,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a free port, or on the port that it had."""
+        """Listen on a free port, or on the previous port after a restart."""
         port = int(self.address.rpartition(':')[2] or 0)
         self._server = await asyncio.start_server(
             self._serve, '127.0.0.1', port
@@ -49,13 +50,13 @@
         self.address = f'{host}:{port}'
 
     async def stop(self) -> None:
-        """Close the port and every connection."""
+        """Close the listener and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.abort_connections()
 
     def abort_connections(self) -> None:
-        """Reset every connection."""
+        """Abort all connections."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
@@ -77,7 +78,7 @@
             self._writers.discard(writer)
             return
         self._writers.add(target_writer)
-        # Cancelled at the end of the soak, which is no fault of its own.
+        # The end of the soak cancels open connections, which is not an error.
         with suppress(asyncio.CancelledError):
             await asyncio.gather(
                 self._forward(reader, target_writer, LinkFault.cut_requests),
