--- a/soak/checks.py
+++ b/soak/checks.py
@@ -104,10 +104,10 @@
         violations.append(
             f'{record.id} has {len(record.results)} of {len(record.items)}'
         )
-    listed = Counter(result['id'] for result in record.results.values())
+    item_counts = Counter(result['id'] for result in record.results.values())
     violations += [
         f'{record.id}: {item} stands {count} times'
-        for item, count in listed.items()
+        for item, count in item_counts.items()
         if count > 1
     ]
     violations += [
@@ -135,7 +135,7 @@
 
 
 def check_fencing_tokens(upstreams: Iterable[UpstreamStandin]) -> list[str]:
-    """Check that the fencing tokens of orders never fall and have one holder."""
+    """Check that fencing tokens of orders never fall and have one holder."""
     violations = []
     for upstream in upstreams:
         tokens = [token for _, token in upstream.state.order_tokens]
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -34,10 +34,10 @@
     """Store, servers and daemons, with a fault proxy on each link.
 
     :param folder: directory for the settings and logs of the daemons.
-    :param daemons: number of daemons.
+    :param daemon_count: number of daemons.
     """
 
-    def __init__(self, folder: Path, daemons: int, seed: int) -> None:
+    def __init__(self, folder: Path, daemon_count: int, seed: int) -> None:
         """Initialize without starting anything."""
         self.store = StoreStandin(seed)
         self.cloud = CloudStandin()
@@ -50,9 +50,9 @@
         self.poison_enabled = False
         self.crashes_at_rest: Counter[str] = Counter()
         self._folder = folder
-        self._daemon_count = daemons
+        self._daemon_count = daemon_count
         self._seed = seed
-        self._doors: list[StoreEndpoint] = []
+        self._store_endpoints: list[StoreEndpoint] = []
         self._server_count = 0
 
     async def start(self) -> None:
@@ -77,8 +77,8 @@
             await server.stop()
         for proxy in (*self.store_proxies, *self.server_proxies.values()):
             await proxy.stop()
-        for door in self._doors:
-            await door.server.stop()
+        for store_endpoint in self._store_endpoints:
+            await store_endpoint.server.stop()
         await self.cloud.server.stop()
 
     async def add_server(
@@ -162,10 +162,10 @@
         return callers.target_version if callers is not None else 1
 
     async def _add_daemon(self, name: str) -> None:
-        door = StoreEndpoint(self.store)
-        await door.server.start()
-        self._doors.append(door)
-        proxy = FaultProxy(door.server.address)
+        store_endpoint = StoreEndpoint(self.store)
+        await store_endpoint.server.start()
+        self._store_endpoints.append(store_endpoint)
+        proxy = FaultProxy(store_endpoint.server.address)
         await proxy.start()
         self.store_proxies.append(proxy)
         daemon = build_daemon(
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -36,7 +36,7 @@
         self.target = target
         self.address = ''
         self.fault = LinkFault.none
-        self.delay = 0.2
+        self.delay_seconds = 0.2
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -95,7 +95,7 @@
         with suppress(OSError, RuntimeError):
             while chunk := await reader.read(CHUNK_BYTES):
                 if self.fault is LinkFault.delay:
-                    await asyncio.sleep(self.delay)
+                    await asyncio.sleep(self.delay_seconds)
                 while self.fault in {LinkFault.silence, cut_fault}:
                     await asyncio.sleep(POLL_SECONDS)
                 if self.fault is LinkFault.reset:
